--- a/crates/check/src/accounts/gate.rs
+++ b/crates/check/src/accounts/gate.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ebonyloft_core::config::Rate;
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::delegate::SILENT;
 use ebonyloft_router::fleet::Fleet;
 use ebonyloft_router::node::Excess;
@@ -37,8 +37,8 @@
     pub borrower: Borrower,
     lender: Lender,
     homes: Homes,
-    heard: BTreeMap<String, (Moment, Missing)>,
-    silent: HashMap<u32, Moment>,
+    heard: BTreeMap<String, (Timestamp, Missing)>,
+    silent: HashMap<u32, Timestamp>,
     mutant: Option<Mutant>,
     /// Bounds that a mutant goes on with until a bucket is empty.
     old: HashMap<Key, Rate>,
@@ -46,7 +46,7 @@
 
 impl Gate {
     /// A process that starts.
-    pub fn new(now: Moment, name: &str, mutant: Option<Mutant>) -> Self {
+    pub fn new(now: Timestamp, name: &str, mutant: Option<Mutant>) -> Self {
         let since = if mutant == Some(Mutant::StartsFull) { now.before(LONG_AGO) } else { now };
         Gate {
             name: name.to_owned(),
@@ -63,12 +63,12 @@
     }
 
     /// Another gateway told whom it misses.
-    pub fn hear(&mut self, now: Moment, name: &str, missing: Missing) {
+    pub fn hear(&mut self, now: Timestamp, name: &str, missing: Missing) {
         self.heard.insert(name.to_owned(), (now, missing));
     }
 
     /// Whom this one misses.
-    pub fn missing(&self, now: Moment, fleet: &Fleet) -> Missing {
+    pub fn missing(&self, now: Timestamp, fleet: &Fleet) -> Missing {
         if scope(fleet, 0) == Scope::Zone {
             return Missing::new();
         }
@@ -77,13 +77,13 @@
         lost.map(|name| gateway_number(name)).collect()
     }
 
-    fn lately(&self, now: Moment, name: &str) -> Option<&Missing> {
+    fn lately(&self, now: Timestamp, name: &str) -> Option<&Missing> {
         let (at, missing) = self.heard.get(name)?;
         (now.since(*at) < SILENT).then_some(missing)
     }
 
     /// Upkeep.
-    pub fn tick(&mut self, now: Moment, fleet: &Fleet) {
+    pub fn tick(&mut self, now: Timestamp, fleet: &Fleet) {
         if self.mutant != Some(Mutant::StartsFull) {
             self.lender.tick(now, fleet.edition());
         }
@@ -96,19 +96,19 @@
     }
 
     /// The gateway to ask for an account.
-    pub fn home(&mut self, now: Moment, fleet: &Fleet, key: &Key) -> Option<String> {
+    pub fn home(&mut self, now: Timestamp, fleet: &Fleet, key: &Key) -> Option<String> {
         let mut missing = self.missing(now, fleet);
         missing.extend(self.silent.keys());
         self.homes.home(fleet, key, &missing)
     }
 
     /// A home did not answer.
-    pub fn note_silent(&mut self, now: Moment, home: &str) {
+    pub fn note_silent(&mut self, now: Timestamp, home: &str) {
         self.silent.insert(gateway_number(home), now.after(SILENT_REST));
     }
 
     /// Lends, as the home of an account or in its place.
-    pub fn lend(&mut self, now: Moment, fleet: &Fleet, ask: &Ask, bound: &Rate) -> Reply {
+    pub fn lend(&mut self, now: Timestamp, fleet: &Fleet, ask: &Ask, bound: &Rate) -> Reply {
         let bound = self.bound(&ask.key, bound);
         if self.mutant == Some(Mutant::ByNumber) {
             let part = 1.0 / fleet.all().len() as f64;
@@ -127,7 +127,14 @@
     }
 
     /// Takes back what another gateway did not use.
-    pub fn take_back(&mut self, now: Moment, fleet: &Fleet, key: &Key, tokens: u64, bound: &Rate) {
+    pub fn take_back(
+        &mut self,
+        now: Timestamp,
+        fleet: &Fleet,
+        key: &Key,
+        tokens: u64,
+        bound: &Rate,
+    ) {
         let at = self.homes.ranked(fleet, key).iter().position(|name| *name == self.name);
         let part = self.part(now, fleet, key, bound, at);
         self.lender.take_back(key, tokens, part);
@@ -147,7 +154,7 @@
 
     fn part(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         fleet: &Fleet,
         key: &Key,
         bound: &Rate,
@@ -170,7 +177,7 @@
 
 struct View<'a> {
     gate: &'a Gate,
-    now: Moment,
+    now: Timestamp,
     own: &'a Missing,
 }
 
--- a/crates/check/src/accounts/world.rs
+++ b/crates/check/src/accounts/world.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ebonyloft_core::config::Rate;
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::fleet::{Fleet, Gateway};
 use ebonyloft_router::quota::homes::Missing;
 use ebonyloft_router::quota::{Ask, Key, Reply};
@@ -17,7 +17,7 @@
 use super::{AccountsSpec, Mutant, OVER, REVOKE, Tally, Trouble, WINDOW};
 use crate::queue::Queue;
 
-const START: Moment = Moment::from_millis(1_000_000_000);
+const START: Timestamp = Timestamp::from_millis(1_000_000_000);
 /// How long a run is played, and until when nobody is counted as short of anything.
 const PLAYED: Duration = Duration::from_secs(30);
 const SETTLED: Duration = Duration::from_secs(4);
@@ -73,11 +73,11 @@
     account: usize,
     gate: usize,
     life: u32,
-    sent: Moment,
+    sent: Timestamp,
     asks: u32,
     /// Number of the question that is open.
     open: u64,
-    asked: Moment,
+    asked: Timestamp,
 }
 
 enum Event {
@@ -89,7 +89,7 @@
     Send(Request),
     Unused { to: usize, key: Key, tokens: u64 },
     Poll(usize, u32),
-    Polled { gate: usize, life: u32, sent: Moment },
+    Polled { gate: usize, life: u32, sent: Timestamp },
     Look(usize, u32),
     AgeAsked { from: usize, to: usize, number: u64 },
     AgeTold { to: usize, number: u64, held: Held },
@@ -104,7 +104,7 @@
     gate: Gate,
     life: u32,
     up: bool,
-    resumes: Option<Moment>,
+    resumes: Option<Timestamp>,
     /// Time that it stood still, for a mutant that doesn't count it.
     lag: Duration,
     store_cut: bool,
@@ -125,7 +125,7 @@
     store_silent: bool,
     /// Times that trouble struck.
     strikes: usize,
-    ran: Vec<Vec<(Moment, Moment)>>,
+    ran: Vec<Vec<(Timestamp, Timestamp)>>,
     asked: Vec<usize>,
     served: Vec<usize>,
 }
@@ -196,12 +196,12 @@
         self.queue.after(LOOK, Event::Look(gate, life));
     }
 
-    fn now(&self) -> Moment {
+    fn now(&self) -> Timestamp {
         self.queue.now()
     }
 
     /// The present moment by a gateway's clock.
-    fn clock(&self, gate: usize) -> Moment {
+    fn clock(&self, gate: usize) -> Timestamp {
         self.now().before(self.hosts[gate].lag)
     }
 
@@ -266,7 +266,7 @@
         self.arrive(Request { account, gate, life, sent: now, asks, open, asked: now });
     }
 
-    fn note_asked(&mut self, account: usize, at: Moment) {
+    fn note_asked(&mut self, account: usize, at: Timestamp) {
         if at.since(START) >= SETTLED {
             self.asked[account] += 1;
         }
@@ -482,7 +482,7 @@
         }
     }
 
-    fn polled(&mut self, gate: usize, life: u32, sent: Moment) {
+    fn polled(&mut self, gate: usize, life: u32, sent: Timestamp) {
         if self.hosts[gate].life != life || self.hosts[gate].resumes.is_some() {
             return;
         }
@@ -601,7 +601,7 @@
     }
 
     /// What lapses unused goes back to its home; a mutant that keeps what did not run keeps this too.
-    fn bring_back(&mut self, gate: usize, now: Moment) {
+    fn bring_back(&mut self, gate: usize, now: Timestamp) {
         if self.spec.mutant == Some(Mutant::Kept) {
             return;
         }
@@ -743,7 +743,7 @@
     fn over(&self, account: usize) -> f64 {
         let calm = self.spec.trouble() == Trouble::None;
         let binds = START.after(LOWERED).after(BINDS);
-        let tolerated = |begin: Moment| {
+        let tolerated = |begin: Timestamp| {
             let lower = calm && account == LOWER && begin >= binds;
             let rate = Self::bound(if lower { 3 } else { 1 }, account);
             let window = WINDOW.as_secs_f64();
--- a/crates/check/src/answers/gate.rs
+++ b/crates/check/src/answers/gate.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Server, ServerId};
 use ebonyloft_router::content::Content;
 use ebonyloft_router::drift::Drift;
@@ -68,7 +68,7 @@
     /// It runs.
     pub up: bool,
     /// Nothing reaches it, and it reaches nobody, until then.
-    pub cut_until: Moment,
+    pub cut_until: Timestamp,
     /// Words to be told.
     pub words: Vec<Word>,
     /// Number of its last trial; begins at a draw.
@@ -88,7 +88,7 @@
             left: HashSet::new(),
             life,
             up: true,
-            cut_until: Moment::default(),
+            cut_until: Timestamp::default(),
             words: Vec::new(),
             trials,
             mutant,
@@ -96,12 +96,12 @@
     }
 
     /// Does it run, and is it connected?
-    pub fn hears(&self, now: Moment) -> bool {
+    pub fn hears(&self, now: Timestamp) -> bool {
         self.up && self.cut_until <= now
     }
 
     /// How a request is treated; a suspect's trial begins.
-    pub fn admit(&mut self, now: Moment, content: Content) -> Standing {
+    pub fn admit(&mut self, now: Timestamp, content: Content) -> Standing {
         let standing = self.quarantine.standing(now, &content);
         if standing == Standing::Suspect {
             self.trials += 1;
@@ -111,12 +111,12 @@
     }
 
     /// Is a content proved by now?
-    pub fn is_proved(&self, now: Moment, content: &Content) -> bool {
+    pub fn is_proved(&self, now: Timestamp, content: &Content) -> bool {
         matches!(self.quarantine.standing(now, content), Standing::Proved(_))
     }
 
     /// May a server be sent something?
-    pub fn takes(&self, now: Moment, server: &Server, retry: bool) -> bool {
+    pub fn takes(&self, now: Timestamp, server: &Server, retry: bool) -> bool {
         let ignores = retry && self.mutant == Some(Mutant::PauseIgnored);
         let open = ignores || self.pauses.is_open(now, &server.id);
         open && !self.roster.has_left(&server.id.name) && !self.left.contains(&server.addr)
@@ -145,7 +145,7 @@
     }
 
     /// A life has ended.
-    pub fn ended(&mut self, now: Moment, id: &ServerId) {
+    pub fn ended(&mut self, now: Timestamp, id: &ServerId) {
         for loss in self.losses.ended(id) {
             if self.quarantine.is_sound(loss.at, &loss.content) {
                 continue;
@@ -159,14 +159,14 @@
     }
 
     /// A life answered what was sent then.
-    pub fn alive(&mut self, now: Moment, id: &ServerId, sent: Moment) {
+    pub fn alive(&mut self, now: Timestamp, id: &ServerId, sent: Timestamp) {
         for loss in self.losses.alive(id, sent) {
             self.note(now, loss.content, Duration::ZERO, Fact::Over(loss.number));
         }
     }
 
     /// A content was answered whole.
-    pub fn served(&mut self, now: Moment, content: Content) {
+    pub fn served(&mut self, now: Timestamp, content: Content) {
         if self.quarantine.served_here(now, content) {
             self.note(now, content, Duration::ZERO, Fact::Served);
         }
@@ -181,12 +181,12 @@
     }
 
     /// A server wants nothing for a while.
-    pub fn paused(&mut self, now: Moment, id: &ServerId, pause: Duration) {
+    pub fn paused(&mut self, now: Timestamp, id: &ServerId, pause: Duration) {
         self.pauses.note(now, id, Pause::For(pause));
     }
 
     /// Takes what happened here and has it told to all.
-    pub fn note(&mut self, now: Moment, content: Content, ago: Duration, fact: Fact) {
+    pub fn note(&mut self, now: Timestamp, content: Content, ago: Duration, fact: Fact) {
         let word = Word { content, age: ago.as_millis() as u64, fact };
         self.quarantine.take(now, &word);
         if self.mutant != Some(Mutant::Alone) {
--- a/crates/check/src/answers/world.rs
+++ b/crates/check/src/answers/world.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Server, ServerId, Stage};
 use ebonyloft_router::content::Content;
 use ebonyloft_router::losses::{Found, Loss};
@@ -17,7 +17,7 @@
 use super::{AnswersSpec, CONTACT, Tally};
 use crate::queue::Queue;
 
-const START: Moment = Moment::from_millis(1_000_000_000);
+const START: Timestamp = Timestamp::from_millis(1_000_000_000);
 /// How long callers send, and how long a run is played.
 const SENDS: Duration = Duration::from_secs(20);
 const PLAYED: Duration = Duration::from_secs(26);
@@ -67,8 +67,8 @@
     step: Step,
     server: usize,
     id: ServerId,
-    sent: Moment,
-    began: Option<Moment>,
+    sent: Timestamp,
+    began: Option<Timestamp>,
     /// The writer that was chosen before the prompt was read; only a mutant goes by it.
     chosen: Option<usize>,
 }
@@ -79,7 +79,7 @@
     content: Content,
     bad: bool,
     tries: u32,
-    since: Moment,
+    since: Timestamp,
     /// Number of its trial; zero without one.
     trial: u64,
 }
@@ -95,7 +95,7 @@
     Lost(u64),
     Hear(usize, u32, Notes),
     Poll(usize, u32),
-    Found(usize, u32, ServerId, Moment),
+    Found(usize, u32, ServerId, Timestamp),
     Round,
     Kill(usize),
     Begin(usize),
@@ -109,11 +109,11 @@
 struct Host {
     server: Server,
     up: bool,
-    up_at: Moment,
+    up_at: Timestamp,
     lives: u32,
     sends: u32,
     leaving: bool,
-    pause_until: Moment,
+    pause_until: Timestamp,
 }
 
 /// A run.
@@ -127,10 +127,10 @@
     next: u64,
     stored: HashSet<Content>,
     suspects: HashMap<Content, Vec<Ending>>,
-    ended: HashMap<Content, Vec<Moment>>,
-    reached: HashMap<Content, Vec<Moment>>,
-    told: HashMap<(usize, u32, ServerId), Moment>,
-    pauses: HashMap<(usize, u32, ServerId), (Moment, Moment, usize)>,
+    ended: HashMap<Content, Vec<Timestamp>>,
+    reached: HashMap<Content, Vec<Timestamp>>,
+    told: HashMap<(usize, u32, ServerId), Timestamp>,
+    pauses: HashMap<(usize, u32, ServerId), (Timestamp, Timestamp, usize)>,
     bytes: HashMap<(usize, u64), usize>,
     tally: Tally,
 }
@@ -239,7 +239,7 @@
     }
 
     fn ask(&self, content: Content, bad: bool) -> Ask {
-        Ask { content, bad, tries: 0, since: Moment::default(), trial: 0 }
+        Ask { content, bad, tries: 0, since: Timestamp::default(), trial: 0 }
     }
 
     fn draw(&mut self, range: std::ops::Range<u64>) -> u64 {
@@ -321,7 +321,7 @@
     /// A caller's request, at any gateway.
     fn arrive(&mut self, mut ask: Ask) {
         let now = self.queue.now();
-        if ask.tries == 0 && ask.since == Moment::default() {
+        if ask.tries == 0 && ask.since == Timestamp::default() {
             self.tally.others += usize::from(!ask.bad);
             ask.since = now;
         }
@@ -521,7 +521,7 @@
         }
     }
 
-    fn found(&mut self, gate: usize, life: u32, id: &ServerId, sent: Moment) {
+    fn found(&mut self, gate: usize, life: u32, id: &ServerId, sent: Timestamp) {
         let now = self.queue.now();
         let number = |id: &ServerId| id.name.split('+').next().map(str::to_owned);
         let host = self.hosts.iter().find(|h| number(&h.server.id) == number(id));
--- a/crates/check/src/queue.rs
+++ b/crates/check/src/queue.rs
@@ -4,25 +4,25 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 
 /// Events to come.
 pub struct Queue<E> {
-    heap: BinaryHeap<(Reverse<Moment>, Reverse<u64>, usize)>,
+    heap: BinaryHeap<(Reverse<Timestamp>, Reverse<u64>, usize)>,
     events: Vec<Option<E>>,
     free: Vec<usize>,
     seq: u64,
-    now: Moment,
+    now: Timestamp,
 }
 
 impl<E> Queue<E> {
     /// Nothing is to come; it is `now`.
-    pub fn new(now: Moment) -> Self {
+    pub fn new(now: Timestamp) -> Self {
         Queue { heap: BinaryHeap::new(), events: Vec::new(), free: Vec::new(), seq: 0, now }
     }
 
     /// The present moment.
-    pub fn now(&self) -> Moment {
+    pub fn now(&self) -> Timestamp {
         self.now
     }
 
@@ -39,7 +39,7 @@
     }
 
     /// The next event, if it comes before `end`.
-    pub fn next(&mut self, end: Moment) -> Option<E> {
+    pub fn next(&mut self, end: Timestamp) -> Option<E> {
         let (Reverse(at), ..) = self.heap.peek()?;
         if *at >= end {
             return None;
--- a/crates/core/tests/route.rs
+++ b/crates/core/tests/route.rs
@@ -7,11 +7,11 @@
 use ebonyloft_core::message::{PlainCall, Repeat, Work};
 use ebonyloft_core::request::{Intent, Spec};
 use ebonyloft_core::route::{Earliest, PoolView};
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-const NOW: Moment = Moment::from_millis(100_000);
+const NOW: Timestamp = Timestamp::from_millis(100_000);
 const HOLD: Duration = Duration::from_millis(20);
 
 fn peer(n: usize) -> Peer {
@@ -47,7 +47,7 @@
     }
 }
 
-fn choose(pool: &mut PoolView) -> Result<Peer, Option<Moment>> {
+fn choose(pool: &mut PoolView) -> Result<Peer, Option<Timestamp>> {
     let mut policy = Earliest { zone: Zone::default() };
     pool.executor(NOW, &check(), HOLD, &mut policy, &mut ChaCha8Rng::seed_from_u64(1))
 }
--- a/crates/daemon/src/gateway/call.rs
+++ b/crates/daemon/src/gateway/call.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_core::verdict::Verdict;
 use ebonyloft_router::budget::Next;
 use ebonyloft_router::catalog::{Server, ServerId};
@@ -32,7 +32,7 @@
 /// The send that is under way, or the turn that is waited for.
 #[derive(Default)]
 struct Flight {
-    open: Option<(Server, Moment)>,
+    open: Option<(Server, Timestamp)>,
     ticket: Option<Ticket>,
 }
 
@@ -178,14 +178,19 @@
 }
 
 /// When the first backend server takes something again, if all that could be sent to want nothing now.
-fn all_rest(shared: &Shared, intake: &Intake, tried: &[ServerId]) -> Option<Moment> {
+fn all_rest(shared: &Shared, intake: &Intake, tried: &[ServerId]) -> Option<Timestamp> {
     let roster = shared.roster.borrow();
     let left = roster.ready(&intake.service).filter(|s| !tried.contains(&s.id));
     said::soonest(shared, left)
 }
 
 /// The best backend server for a call that was not tried yet.
-pub fn pick(shared: &Shared, intake: &Intake, now: Moment, tried: &[ServerId]) -> Option<Server> {
+pub fn pick(
+    shared: &Shared,
+    intake: &Intake,
+    now: Timestamp,
+    tried: &[ServerId],
+) -> Option<Server> {
     let (node, roster) = (shared.node(), shared.roster.borrow());
     let servers = roster.ready(&intake.service).filter(|s| !said::rests(shared, &s.id));
     let plain = shared.plain.borrow();
@@ -196,7 +201,7 @@
 fn limit(
     shared: &Shared,
     intake: &Intake,
-    now: Moment,
+    now: Timestamp,
     progress: &Progress,
     tried: &[ServerId],
 ) -> Duration {
@@ -261,7 +266,12 @@
 }
 
 /// All backend servers want nothing for longer than the caller's goal.
-fn refuse_until(shared: &Shared, intake: &Intake, verdict: Verdict, at: Moment) -> Response<Body> {
+fn refuse_until(
+    shared: &Shared,
+    intake: &Intake,
+    verdict: Verdict,
+    at: Timestamp,
+) -> Response<Body> {
     refuse_for(shared, intake, Cause::Overload, verdict, at.since(shared.now()))
 }
 
--- a/crates/daemon/src/gateway/ingress.rs
+++ b/crates/daemon/src/gateway/ingress.rs
@@ -9,7 +9,7 @@
 use compio::net::{TcpListener, TcpStream};
 use cyper_core::{CompioTimer, HyperStream};
 use ebonyloft_core::ids::Account;
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_core::verdict::Verdict;
 use ebonyloft_platform::headers;
 use ebonyloft_router::accounts::Credential;
@@ -119,7 +119,7 @@
 async fn read(
     shared: &Rc<Shared>,
     req: Request<Incoming>,
-    came_at: Moment,
+    came_at: Timestamp,
 ) -> Result<Intake, Response<Body>> {
     let caller = headers::caller(req.headers());
     let refuse = |cause: Cause| {
@@ -214,7 +214,7 @@
 }
 
 /// Can a request that comes now still end before the process does?
-fn may_end(shared: &Shared, asked: Moment, now: Moment, kind: Kind) -> bool {
+fn may_end(shared: &Shared, asked: Timestamp, now: Timestamp, kind: Kind) -> bool {
     match kind {
         Kind::Stream => now < asked.after(STREAMS_TAKEN),
         Kind::Idempotent | Kind::Once => {
@@ -225,9 +225,9 @@
 
 /// The moments that bound a request.
 struct Times {
-    came_at: Moment,
-    ends_at: Moment,
-    goal_at: Moment,
+    came_at: Timestamp,
+    ends_at: Timestamp,
+    goal_at: Timestamp,
 }
 
 /// Where a request goes: its route in a configuration, and the service chosen for it.
@@ -237,7 +237,7 @@
     service: String,
 }
 
-fn times(shared: &Shared, came_at: Moment, route: &Route, caller: &headers::Caller) -> Times {
+fn times(shared: &Shared, came_at: Timestamp, route: &Route, caller: &headers::Caller) -> Times {
     let patience = caller.patience.unwrap_or(route.timeout);
     let mut deadlines = shared.patience.borrow_mut();
     let spent = deadlines.spent(came_at, &route.name, route.timeout, patience);
--- a/crates/daemon/src/gateway/intake.rs
+++ b/crates/daemon/src/gateway/intake.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use ebonyloft_core::ids::Account;
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_platform::headers::{self, Caller};
 use ebonyloft_router::budget::Arrivals;
 use ebonyloft_router::catalog::{Config, Kind, Route, ServerId};
@@ -46,11 +46,11 @@
     /// Name of the service that takes it.
     pub service: String,
     /// When its head was read.
-    pub came_at: Moment,
+    pub came_at: Timestamp,
     /// When the caller, or the operator, stops waiting.
-    pub ends_at: Moment,
+    pub ends_at: Timestamp,
     /// When its answer or first event is in time, counted from the caller's first attempt.
-    pub goal_at: Moment,
+    pub goal_at: Timestamp,
 }
 
 impl Intake {
@@ -75,7 +75,7 @@
     }
 
     /// The request for one backend server; its deadline is what is left now.
-    pub fn request(&self, now: Moment, to: &ServerId) -> Request<Bytes> {
+    pub fn request(&self, now: Timestamp, to: &ServerId) -> Request<Bytes> {
         let mut req = Request::new(self.body.clone());
         *req.method_mut() = self.method.clone();
         *req.uri_mut() = self.uri.clone();
--- a/crates/daemon/src/gateway/limits.rs
+++ b/crates/daemon/src/gateway/limits.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::ServerId;
 use ebonyloft_router::limits::{Limit, Named};
 use ebonyloft_router::quota::Key;
@@ -38,14 +38,14 @@
 }
 
 /// Until when a server's limit is used up, as far as is known here.
-pub fn used_up(shared: &Shared, id: &ServerId) -> Option<Moment> {
+pub fn used_up(shared: &Shared, id: &ServerId) -> Option<Timestamp> {
     shared.limits.borrow().of(id)?;
     let (until, _) = shared.borrower.borrow().over(shared.now(), &Key::Server(id.clone()))?;
     Some(until)
 }
 
 /// An answer to a request sent at `sent` names a limit, or none.
-pub fn note(shared: &Shared, id: &ServerId, sent: Moment, limit: Option<Limit>) {
+pub fn note(shared: &Shared, id: &ServerId, sent: Timestamp, limit: Option<Limit>) {
     let news = shared.limits.borrow_mut().answered(shared.now(), id, sent, limit);
     if let Some(word) = news {
         log(shared, &word, "answer");
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use compio::net::{TcpListener, UdpSocket};
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::delegate::Link;
 use ebonyloft_router::pulls::Versions;
 use ebonyloft_router::share::{self, News, Share};
@@ -43,7 +43,7 @@
 pub async fn tell(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
     let life = shared.now().0;
     let mut seq = 0;
-    let mut passed_at = Moment::default();
+    let mut passed_at = Timestamp::default();
     loop {
         let peers = peers(&shared);
         let pause = share::pause(peers.len());
--- a/crates/daemon/src/gateway/pool.rs
+++ b/crates/daemon/src/gateway/pool.rs
@@ -13,7 +13,7 @@
 use compio::net::TcpStream;
 use compio::runtime::JoinHandle;
 use cyper_core::HyperStream;
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
@@ -57,7 +57,7 @@
     sender: SendRequest<Full<Bytes>>,
     /// Drives the connection; dropping it closes the socket.
     task: JoinHandle<()>,
-    idle_since: Moment,
+    idle_since: Timestamp,
 }
 
 impl Conn {
@@ -97,12 +97,12 @@
 pub struct Coming {
     conn: Conn,
     response: Response<Incoming>,
-    head_at: Moment,
+    head_at: Timestamp,
 }
 
 impl Coming {
     /// When its head came: what it says was true then, however long its body takes.
-    pub fn head_at(&self) -> Moment {
+    pub fn head_at(&self) -> Timestamp {
         self.head_at
     }
 }
@@ -229,7 +229,7 @@
     }
 
     /// Closes connections that were idle for too long.
-    pub fn expire(&self, now: Moment) {
+    pub fn expire(&self, now: Timestamp) {
         let mut idle = self.idle.borrow_mut();
         for kept in idle.values_mut() {
             kept.retain(|c| now.since(c.idle_since) < IDLE_MAX && !c.sender.is_closed());
--- a/crates/daemon/src/gateway/quarantine.rs
+++ b/crates/daemon/src/gateway/quarantine.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use compio::time::timeout;
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_core::verdict::Verdict;
 use ebonyloft_platform::engine;
 use ebonyloft_platform::store::{Item, StoreError, Write};
@@ -56,7 +56,7 @@
     servers: Vec<String>,
     /// The same, with whether it had only just begun there, and when.
     #[serde(default)]
-    endings: Vec<(ServerId, bool, Moment)>,
+    endings: Vec<(ServerId, bool, Timestamp)>,
     /// The gateway that wrote it.
     by: String,
     /// An operator lets it in again.
@@ -81,12 +81,12 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Refused {
     cause: Cause,
-    until: Moment,
+    until: Timestamp,
 }
 
 impl Refused {
     /// The caller's answer: it has not run, and is worth sending again then.
-    pub fn response(self, now: Moment) -> Response<Body> {
+    pub fn response(self, now: Timestamp) -> Response<Body> {
         answer::refusal(self.cause, Verdict::NotRun, Some(self.until.since(now)))
     }
 }
@@ -150,7 +150,7 @@
     /// How far it has come.
     pub run: Run,
     /// When it was sent.
-    pub at: Moment,
+    pub at: Timestamp,
 }
 
 /// A run broke off, or no answer came: whether its server ended is looked into.
@@ -207,7 +207,7 @@
 }
 
 /// A server answered what was sent at `sent`.
-pub fn note_alive(shared: &Shared, id: &ServerId, sent: Moment) {
+pub fn note_alive(shared: &Shared, id: &ServerId, sent: Timestamp) {
     let cleared = shared.losses.borrow_mut().alive(id, sent);
     let early = cleared.iter().filter(|loss| loss.early);
     early.for_each(|loss| tell(shared, loss.content, Fact::Over(loss.number)));
--- a/crates/daemon/src/gateway/quota.rs
+++ b/crates/daemon/src/gateway/quota.rs
@@ -8,7 +8,7 @@
 
 use ebonyloft_core::config::Rate;
 use ebonyloft_core::ids::Account as Name;
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_core::verdict::Verdict;
 use ebonyloft_router::accounts::{Account, Quota};
 use ebonyloft_router::limits::{EXCESS as SERVER_EXCESS, Limit};
@@ -59,12 +59,12 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Refused {
     cause: Cause,
-    back_at: Moment,
+    back_at: Timestamp,
 }
 
 impl Refused {
     /// The caller's answer: it has not run.
-    pub fn response(self, now: Moment) -> Response<Body> {
+    pub fn response(self, now: Timestamp) -> Response<Body> {
         answer::refusal(self.cause, Verdict::NotRun, Some(self.back_at.since(now).max(BACK_MIN)))
     }
 }
@@ -73,7 +73,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Short {
     /// It is used up; when to come back.
-    Over(Moment),
+    Over(Timestamp),
     /// Nobody who lends it answers.
     Unknown,
 }
@@ -141,7 +141,7 @@
     Err(Short::Unknown)
 }
 
-fn refuse(shared: &Shared, intake: &Intake, cause: Cause, back_at: Moment) -> Refused {
+fn refuse(shared: &Shared, intake: &Intake, cause: Cause, back_at: Timestamp) -> Refused {
     let account = intake.account.as_ref().map(Name::as_str);
     let ms = back_at.since(shared.now()).as_millis() as u64;
     let Basis { config, roster, age } = shared.basis();
@@ -333,7 +333,7 @@
 
 /// What is heard of other gateways, and this one's own view.
 struct Heard<'a> {
-    now: Moment,
+    now: Timestamp,
     name: &'a str,
     own: &'a Missing,
     shares: &'a Shares,
--- a/crates/daemon/src/gateway/said.rs
+++ b/crates/daemon/src/gateway/said.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_platform::headers;
 use ebonyloft_router::catalog::{Server, ServerId};
 use ebonyloft_router::outcome::Reply;
@@ -19,7 +19,7 @@
 use super::shared::{Basis, Shared};
 
 /// Takes what the head of an answer says of the server that was sent something at `sent`.
-pub fn note(shared: &Shared, to: &ServerId, sent: Moment, reply: &Reply) {
+pub fn note(shared: &Shared, to: &ServerId, sent: Timestamp, reply: &Reply) {
     if reply.leaving
         && let Some(id) = speaker(shared, to, reply)
     {
@@ -43,13 +43,16 @@
 }
 
 /// Until when it does.
-fn rests_until(shared: &Shared, id: &ServerId) -> Option<Moment> {
+fn rests_until(shared: &Shared, id: &ServerId) -> Option<Timestamp> {
     let paused = shared.pauses.borrow().until(shared.now(), id);
     paused.max(limits::used_up(shared, id))
 }
 
 /// When the first of these servers takes something again; none when one does now, or there is none.
-pub fn soonest<'a>(shared: &Shared, servers: impl Iterator<Item = &'a Server>) -> Option<Moment> {
+pub fn soonest<'a>(
+    shared: &Shared,
+    servers: impl Iterator<Item = &'a Server>,
+) -> Option<Timestamp> {
     pauses::soonest(servers.map(|s| rests_until(shared, &s.id)))
 }
 
--- a/crates/daemon/src/gateway/shared.rs
+++ b/crates/daemon/src/gateway/shared.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::budget::Budget;
 use ebonyloft_router::catalog::{Config, ServerId};
 use ebonyloft_router::content::Content;
@@ -90,7 +90,7 @@
     /// What it has borrowed.
     pub borrower: RefCell<Borrower>,
     /// Homes that did not answer, by number, and until when they are passed over.
-    pub silent: RefCell<HashMap<u32, Moment>>,
+    pub silent: RefCell<HashMap<u32, Timestamp>>,
     /// Questions to homes that are not answered yet.
     pub asked: RefCell<HashMap<u64, oneshot::Sender<Reply>>>,
     /// How far the list of backend servers can be believed.
@@ -150,12 +150,12 @@
     /// Engines that this process ordered to change their stage and that have not yet.
     pub changing: RefCell<Vec<ServerId>>,
     /// When the process was told to stop.
-    pub stopping: Cell<Option<Moment>>,
+    pub stopping: Cell<Option<Timestamp>>,
     /// Requests being worked on.
     pub open: Cell<usize>,
     /// Counters and histograms.
     pub metrics: Metrics,
-    born_at: Moment,
+    born_at: Timestamp,
     rng: RefCell<ChaCha8Rng>,
     waiters: Waiters,
     news: Cell<bool>,
@@ -236,7 +236,7 @@
     }
 
     /// The present moment.
-    pub fn now(&self) -> Moment {
+    pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
--- a/crates/daemon/src/gateway/stream.rs
+++ b/crates/daemon/src/gateway/stream.rs
@@ -15,7 +15,7 @@
 
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_core::verdict::Verdict;
 use ebonyloft_platform::headers;
 use ebonyloft_router::budget::Next;
@@ -52,7 +52,7 @@
 /// Why no more can be done for a request.
 enum Stop {
     /// Tell the caller why; come back after the moment, if there is one.
-    Refused(Cause, Option<Moment>),
+    Refused(Cause, Option<Timestamp>),
     /// Pass on a failure that a backend server answered with.
     Failed(Box<send::Whole>),
 }
@@ -237,7 +237,7 @@
 }
 
 /// When a request that did not run is worth sending again.
-fn retry_at(shared: &Shared, intake: &Intake, flight: &Flight) -> Option<Moment> {
+fn retry_at(shared: &Shared, intake: &Intake, flight: &Flight) -> Option<Timestamp> {
     let at = engines::come_back(shared.now(), intake.ends_at, shared.draw());
     (flight.progress.verdict() == Verdict::NotRun).then_some(at)
 }
--- a/crates/daemon/src/gateway/stream/flight.rs
+++ b/crates/daemon/src/gateway/stream/flight.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_platform::{engine, headers};
 use ebonyloft_router::catalog::{Server, ServerId};
 use ebonyloft_router::engines::Ticket;
@@ -44,7 +44,7 @@
     /// Names the memory there.
     pub handle: String,
     /// Until when it is surely there.
-    pub until: Moment,
+    pub until: Timestamp,
 }
 
 /// What one request holds.
@@ -54,7 +54,7 @@
     /// Its turn in the line for places.
     pub ticket: Option<Ticket>,
     /// Where a send is under way, of the request or of its prompt, and since when.
-    pub open: Option<(Server, Moment)>,
+    pub open: Option<(Server, Timestamp)>,
     /// Its place.
     pub place: Option<Place>,
     /// Other zones that were asked for a place.
@@ -66,7 +66,7 @@
     /// Tokens of the answer made so far.
     pub made: u64,
     /// When the first event of the present run came.
-    pub advanced_at: Option<Moment>,
+    pub advanced_at: Option<Timestamp>,
     /// Longest pause before an event, the first one after the head of the answer included.
     pub pause: Duration,
 }
@@ -89,7 +89,7 @@
     }
 
     /// How far the present run has come.
-    pub fn run(&self, now: Moment) -> Run {
+    pub fn run(&self, now: Timestamp) -> Run {
         match self.advanced_at {
             Some(at) if now >= at.after(EARLY) => Run::Advanced,
             _ => Run::Begun,
@@ -125,7 +125,7 @@
     }
 
     /// Gives everything back; `whole` when an answer ended.
-    pub fn release(&mut self, shared: &Shared, now: Moment, whole: bool) {
+    pub fn release(&mut self, shared: &Shared, now: Timestamp, whole: bool) {
         if let Some(ticket) = self.ticket.take() {
             shared.engines.borrow_mut().leave(ticket);
         }
@@ -146,12 +146,12 @@
     }
 
     /// Gives the place back and keeps the prompt that was read.
-    pub fn give_up_place(&mut self, shared: &Shared, now: Moment) {
+    pub fn give_up_place(&mut self, shared: &Shared, now: Timestamp) {
         self.free_place(shared, now, false);
         shared.wake_all();
     }
 
-    fn free_place(&mut self, shared: &Shared, now: Moment, whole: bool) {
+    fn free_place(&mut self, shared: &Shared, now: Timestamp, whole: bool) {
         let Some(place) = self.place.take() else {
             return;
         };
--- a/crates/daemon/src/gateway/stream/lend.rs
+++ b/crates/daemon/src/gateway/stream/lend.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Server, ServerId};
 use ebonyloft_router::engines::{Need, View};
 use ebonyloft_router::forecast::Profile;
@@ -151,7 +151,7 @@
         &mut self,
         shared: &Shared,
         ask: &Ask,
-        read_at: Moment,
+        read_at: Timestamp,
         done: oneshot::Receiver<()>,
     ) {
         let token = shared.service(&ask.service).shape.token();
--- a/crates/daemon/src/gateway/stream/pass.rs
+++ b/crates/daemon/src/gateway/stream/pass.rs
@@ -1,6 +1,6 @@
 //! Events, passed on to the caller as they come.
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_platform::headers;
 use ebonyloft_router::events::Splitter;
 use ebonyloft_router::outcome::Fate;
@@ -55,7 +55,7 @@
     out: &'a mut Outlet,
     splitter: &'a mut Splitter,
     /// When the last event came.
-    last: Moment,
+    last: Timestamp,
 }
 
 impl Passer<'_> {
--- a/crates/daemon/src/gateway/stream/place.rs
+++ b/crates/daemon/src/gateway/stream/place.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_platform::engine;
 use ebonyloft_router::catalog::{Engine, Server, ServerId, Stage};
 use ebonyloft_router::engines::{Advice, Lack, Need, View};
@@ -85,7 +85,7 @@
 
 /// When the first engine that writes takes something again, if all that could be asked want nothing now;
 /// other zones' may be asked where zones decide for themselves.
-fn all_rest(shared: &Shared, intake: &Intake, tried: &[ServerId]) -> Option<Moment> {
+fn all_rest(shared: &Shared, intake: &Intake, tried: &[ServerId]) -> Option<Timestamp> {
     let roster = shared.roster.borrow();
     let writers = roster.ready(&intake.service).filter(|s| s.stage == Some(Stage::Decode));
     let left = writers.filter(|s| !tried.contains(&s.id));
@@ -103,7 +103,7 @@
     intake: &Intake,
     flight: &Flight,
     growth: Growth,
-    now: Moment,
+    now: Timestamp,
     begun: bool,
 ) -> Need {
     let first_by = if begun { now.after(RESUME_WAIT) } else { intake.goal_at };
@@ -124,7 +124,7 @@
     spec: &Engine,
     flight: &Flight,
     tried: &[ServerId],
-    now: Moment,
+    now: Timestamp,
 ) -> Advice {
     let read_at = read::foretold(shared, intake, flight, now);
     let entries = shared.neighbours();
@@ -144,7 +144,7 @@
     spec: &Engine,
     flight: &Flight,
     need: &Need,
-    now: Moment,
+    now: Timestamp,
 ) -> bool {
     let read_at = read::foretold(shared, intake, flight, now);
     let (roster, shares) = (shared.roster.borrow(), shared.shares.borrow());
@@ -269,7 +269,7 @@
     spec: &Engine,
     need: &Need,
     flight: &Flight,
-    joined: Moment,
+    joined: Timestamp,
     lack: Lack,
 ) {
     let free = percent(shared, intake, spec);
@@ -301,7 +301,7 @@
     spec: &Engine,
     need: &Need,
     server: &Server,
-    joined: Moment,
+    joined: Timestamp,
 ) {
     let free = percent(shared, intake, spec);
     let work = shared.work(&server.id);
--- a/crates/daemon/src/gateway/stream/read.rs
+++ b/crates/daemon/src/gateway/stream/read.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_platform::{engine, headers};
 use ebonyloft_router::budget::Next;
 use ebonyloft_router::catalog::{Server, Stage};
@@ -31,7 +31,7 @@
 const LOCAL_PACE: u32 = 2;
 
 /// When the prompt would be read if it were sent to its reader now.
-pub fn foretold(shared: &Shared, intake: &Intake, flight: &Flight, now: Moment) -> Moment {
+pub fn foretold(shared: &Shared, intake: &Intake, flight: &Flight, now: Timestamp) -> Timestamp {
     if flight.source.is_some() {
         return now;
     }
@@ -47,13 +47,13 @@
     shared: &Shared,
     service: &str,
     prompt: u64,
-    now: Moment,
-) -> Option<(Server, Moment)> {
+    now: Timestamp,
+) -> Option<(Server, Timestamp)> {
     pick(shared, service, prompt, &shared.node().zone, now, 1)
 }
 
 /// When an engine that writes answers would have read a prompt.
-pub fn alone(shared: &Shared, service: &str, prompt: u64, now: Moment) -> Moment {
+pub fn alone(shared: &Shared, service: &str, prompt: u64, now: Timestamp) -> Timestamp {
     let alone = shared.service(service).reading.time(Work::default(), prompt);
     now.after(alone * LOCAL_PACE)
 }
@@ -96,9 +96,9 @@
     service: &str,
     prompt: u64,
     zone: &str,
-    now: Moment,
+    now: Timestamp,
     entries: usize,
-) -> Option<(Server, Moment)> {
+) -> Option<(Server, Timestamp)> {
     let (roster, engines) = (shared.roster.borrow(), shared.engines.borrow());
     let own = shared.zone();
     let readers = roster
@@ -125,7 +125,7 @@
     intake: &Intake,
     flight: &mut Flight,
     reader: &Server,
-    ready_at: Moment,
+    ready_at: Timestamp,
     lent: bool,
 ) -> bool {
     let now = shared.now();
--- a/crates/daemon/src/gateway/stream/spill.rs
+++ b/crates/daemon/src/gateway/stream/spill.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::Server;
 use ebonyloft_router::engines::{FIRST_EVENT, LATE_READ, Need};
 use ebonyloft_router::growth::Growth;
@@ -65,7 +65,7 @@
     addr: SocketAddr,
     id: u64,
     /// The reader that it named, and when the prompt would be read.
-    pub reader: Option<(Server, Moment)>,
+    pub reader: Option<(Server, Timestamp)>,
 }
 
 impl Loan {
--- a/crates/daemon/src/gateway/uploads.rs
+++ b/crates/daemon/src/gateway/uploads.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Weak};
 
 use bytes::Bytes;
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use futures_util::stream;
 
 use super::pool::BODY_WAIT;
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 struct Open {
     upload: Weak<()>,
-    until: Moment,
+    until: Timestamp,
 }
 
 /// Leave to send one.
@@ -39,7 +39,7 @@
 
 impl Uploads {
     /// Leave to send one more over a link of so many megabits a second, if it carries that.
-    pub fn begin(&self, now: Moment, link: u32) -> Option<Upload> {
+    pub fn begin(&self, now: Timestamp, link: u32) -> Option<Upload> {
         let most = match link {
             0 => UNKNOWN,
             link => (link / EACH).max(1) as usize,
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_platform::store::{Age, CONFIG_KEY, Item, StoreError};
 use ebonyloft_platform::{config, servers};
 use ebonyloft_router::recency::Recency;
@@ -168,7 +168,7 @@
 }
 
 /// The store answered; what it said holds as of `known_at`.
-fn heard(shared: &Shared, prefix: &str, known_at: Moment) {
+fn heard(shared: &Shared, prefix: &str, known_at: Timestamp) {
     if shared.fresh.borrow_mut().on_answer(shared.now(), known_at) {
         tracing::info!(prefix, "store is back");
         shared.metrics.count("gateway.store.back", 1);
--- a/crates/daemon/tests/uploads.rs
+++ b/crates/daemon/tests/uploads.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloftd::gateway::pool::BODY_WAIT;
 use ebonyloftd::gateway::uploads::Uploads;
 
-const NOW: Moment = Moment::from_millis(100_000);
+const NOW: Timestamp = Timestamp::from_millis(100_000);
 
 #[test]
 fn a_link_carries_as_many_as_it_has_times_ten_megabits() {
--- a/crates/router/benches/accounts.rs
+++ b/crates/router/benches/accounts.rs
@@ -6,7 +6,7 @@
 use criterion::{Criterion, criterion_group, criterion_main};
 use ebonyloft_core::config::Rate;
 use ebonyloft_core::ids::Digest;
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::accounts::{Account, Accounts};
 use ebonyloft_router::fleet::{Fleet, Gateway};
 use ebonyloft_router::quota::borrower::Borrower;
@@ -31,7 +31,7 @@
     };
     let list: BTreeMap<_, _> = (0..count).map(|i| (format!("front-{i}"), gateway(i))).collect();
     let mut fleet = Fleet::default();
-    fleet.replace(Moment::default(), list, 1);
+    fleet.replace(Timestamp::default(), list, 1);
     fleet
 }
 
@@ -47,12 +47,12 @@
 fn decide(c: &mut Criterion) {
     let (fleet, account) = (fleet(410), Key::account("account-7"));
     let bound = Rate { rate: 1e12, burst: 1e12 };
-    let now = Moment::from_millis(60_000);
+    let now = Timestamp::from_millis(60_000);
     let mut homes = Homes::default();
     c.bench_function("home of an account, 410 gateways", |b| {
         b.iter(|| homes.ranked(black_box(&fleet), &account));
     });
-    let mut lender = Lender::new(Moment::default());
+    let mut lender = Lender::new(Timestamp::default());
     let mut number = 0;
     c.bench_function("a loan", |b| {
         b.iter(|| {
@@ -60,7 +60,7 @@
             let ask =
                 Ask { number, key: Key::account("account-7"), need: 100, more: 0, limit: None };
             // Loans of an earlier moment are forgotten.
-            let at = Moment::from_millis(60_000 + number / 4);
+            let at = Timestamp::from_millis(60_000 + number / 4);
             lender.lend(at, &ask, &bound, 1.0, true)
         });
     });
--- a/crates/router/src/budget.rs
+++ b/crates/router/src/budget.rs
@@ -11,7 +11,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 
 use crate::node::Bounds;
 
@@ -27,28 +27,28 @@
 #[derive(Clone, Debug)]
 pub struct Budget {
     /// When the process started; the fixed part grows to its full size within one window.
-    born_at: Moment,
-    requests: VecDeque<Moment>,
-    extras: VecDeque<Moment>,
+    born_at: Timestamp,
+    requests: VecDeque<Timestamp>,
+    extras: VecDeque<Timestamp>,
     /// Extra arrivals that requests hold and have not caused.
     held: usize,
 }
 
 impl Budget {
     /// A window of a process that started at `born_at`.
-    pub fn new(born_at: Moment) -> Self {
+    pub fn new(born_at: Timestamp) -> Self {
         Budget { born_at, requests: VecDeque::new(), extras: VecDeque::new(), held: 0 }
     }
 
     /// A caller's request for the service came in.
-    pub fn earn(&mut self, now: Moment, bounds: &Bounds) {
+    pub fn earn(&mut self, now: Timestamp, bounds: &Bounds) {
         self.expire(now, bounds.budget_window);
         self.requests.push_back(now);
     }
 
     /// Holds extra arrivals for a request, if there is what that asks for; `entries` is the count of live
     /// entries.
-    pub fn hold(&mut self, now: Moment, bounds: &Bounds, entries: usize, lack: Lack) -> bool {
+    pub fn hold(&mut self, now: Timestamp, bounds: &Bounds, entries: usize, lack: Lack) -> bool {
         let left = self.left(now, bounds, entries);
         let count = match lack {
             Lack::Sure(count) if left >= f64::from(count) => count,
@@ -60,7 +60,7 @@
     }
 
     /// A held one takes place.
-    pub fn spend(&mut self, now: Moment) {
+    pub fn spend(&mut self, now: Timestamp) {
         self.held = self.held.saturating_sub(1);
         self.extras.push_back(now);
     }
@@ -78,7 +78,7 @@
     }
 
     /// Extra arrivals left in the present window.
-    pub fn left(&mut self, now: Moment, bounds: &Bounds, entries: usize) -> f64 {
+    pub fn left(&mut self, now: Timestamp, bounds: &Bounds, entries: usize) -> f64 {
         self.expire(now, bounds.budget_window);
         let window = bounds.budget_window.as_secs_f64().max(1e-3);
         let age = now.since(self.born_at).as_secs_f64();
@@ -93,7 +93,7 @@
         (self.requests.len(), self.extras.len(), self.held)
     }
 
-    fn expire(&mut self, now: Moment, window: Duration) {
+    fn expire(&mut self, now: Timestamp, window: Duration) {
         let start = now.before(window);
         for queue in [&mut self.requests, &mut self.extras] {
             while queue.front().is_some_and(|at| *at < start) {
--- a/crates/router/src/delegate.rs
+++ b/crates/router/src/delegate.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use serde::{Deserialize, Serialize};
 
 /// Delegates of an availability zone: one may be lost, or cut from the store without noticing yet,
@@ -53,19 +53,19 @@
     /// Nobody that goes before it hears the store.
     leads: bool,
     /// When two delegates were last missed, while it follows.
-    needed_at: Moment,
+    needed_at: Timestamp,
     /// Since when two are missed, while it does not.
-    missed_since: Option<Moment>,
+    missed_since: Option<Timestamp>,
 }
 
 impl Role {
     /// A gateway that starts knows nobody: it follows the store.
-    pub fn new(now: Moment) -> Self {
+    pub fn new(now: Timestamp) -> Self {
         Role { follows: true, leads: true, needed_at: now, missed_since: None }
     }
 
     /// Judges anew: `heard` delegates of the `ahead` gateways that go before this one hear the store.
-    pub fn judge(&mut self, now: Moment, ahead: usize, heard: usize) {
+    pub fn judge(&mut self, now: Timestamp, ahead: usize, heard: usize) {
         self.leads = self.follows && heard == 0;
         if heard >= PER_ZONE {
             self.missed_since = None;
--- a/crates/router/src/drift.rs
+++ b/crates/router/src/drift.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 
 /// How long sums must differ: what was told by datagram is on its way to one of both for less.
 const LASTS: Duration = Duration::from_millis(400);
@@ -18,13 +18,13 @@
 /// Since when each peer's sum differs from this process's.
 #[derive(Clone, Debug, Default)]
 pub struct Drift {
-    since: HashMap<String, (Moment, Moment)>,
-    next_at: Moment,
+    since: HashMap<String, (Timestamp, Timestamp)>,
+    next_at: Timestamp,
 }
 
 impl Drift {
     /// A peer told its sum; true when notes should be compared with it now.
-    pub fn hear(&mut self, now: Moment, peer: &str, same: bool) -> bool {
+    pub fn hear(&mut self, now: Timestamp, peer: &str, same: bool) -> bool {
         if same {
             self.since.remove(peer);
             return false;
@@ -40,7 +40,7 @@
     }
 
     /// Forgets peers that fell silent.
-    pub fn expire(&mut self, now: Moment) {
+    pub fn expire(&mut self, now: Timestamp) {
         self.since.retain(|_, (_, heard_at)| heard_at.after(FORGET) > now);
     }
 }
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 
 use crate::catalog::{Engine, Server, ServerId};
 use crate::forecast::{MARGIN, Profile};
@@ -53,9 +53,9 @@
     /// Memory that it is expected to take.
     pub memory: Profile,
     /// When its first event is in time.
-    pub first_by: Moment,
+    pub first_by: Timestamp,
     /// When its caller stops waiting for it.
-    pub ends_at: Moment,
+    pub ends_at: Timestamp,
     /// What it gives for its memory if it is in time, against the usual request.
     pub gives: f64,
     /// Its caller has a part of the answer already.
@@ -64,12 +64,12 @@
 
 impl Need {
     /// Could the first event be in time with the prompt read at `read_at`?
-    fn in_time(&self, read_at: Moment) -> bool {
+    fn in_time(&self, read_at: Timestamp) -> bool {
         read_at.after(FIRST_EVENT) <= self.first_by
     }
 
     /// Did it come after its goal had passed, or too close to it?
-    fn is_late(&self, now: Moment) -> bool {
+    fn is_late(&self, now: Timestamp) -> bool {
         self.first_by < now.after(FIRST_EVENT)
     }
 
@@ -99,7 +99,7 @@
 }
 
 /// When a refused caller that waits until `ends_at` is worth coming back; `draw` is uniform in 0..1.
-pub fn come_back(now: Moment, ends_at: Moment, draw: f64) -> Moment {
+pub fn come_back(now: Timestamp, ends_at: Timestamp, draw: f64) -> Timestamp {
     let wait = ends_at.since(now).mul_f64(RETRY_PART + RETRY_SPREAD * draw);
     now.after(wait.min(RETRY_MAX))
 }
@@ -116,7 +116,7 @@
     /// Its prompt could have been read in time when it came.
     readable: bool,
     /// When it is refused.
-    until: Moment,
+    until: Timestamp,
 }
 
 impl Waiter {
@@ -132,7 +132,7 @@
     /// What is known of the service's engines.
     pub engine: &'a Engine,
     /// When the request's prompt would be read if it had a place now.
-    pub read_at: Moment,
+    pub read_at: Timestamp,
     /// Live entries.
     pub entries: usize,
 }
@@ -143,9 +143,9 @@
     /// Ask this engine for a reservation.
     Ask(ServerId),
     /// Wait; ask again when an answer ended, or at this moment.
-    Wait(Moment),
+    Wait(Timestamp),
     /// Tell the caller to come back after this moment; it lacked this.
-    Refuse(Moment, Lack),
+    Refuse(Timestamp, Lack),
 }
 
 /// What a refused request lacked.
@@ -162,8 +162,8 @@
 #[derive(Clone, Debug, Default)]
 struct Record {
     own: Work,
-    full_until: Moment,
-    fault_until: Moment,
+    full_until: Timestamp,
+    fault_until: Timestamp,
     rejects: u32,
 }
 
@@ -172,7 +172,7 @@
 pub struct Engines {
     records: HashMap<ServerId, Record>,
     waiting: BTreeMap<Ticket, Waiter>,
-    ends: VecDeque<Moment>,
+    ends: VecDeque<Timestamp>,
     next: u64,
 }
 
@@ -183,7 +183,7 @@
 impl Engines {
     /// A request arrives and waits for a place, its prompt read at `read_at` if one is free now;
     /// what to do comes from `advise`.
-    pub fn join(&mut self, now: Moment, need: Need, read_at: Moment) -> Ticket {
+    pub fn join(&mut self, now: Timestamp, need: Need, read_at: Timestamp) -> Ticket {
         self.next += 1;
         let ticket = Ticket(self.next);
         let late = need.is_late(now);
@@ -205,7 +205,7 @@
     /// in 0..1.
     pub fn advise<'a>(
         &self,
-        now: Moment,
+        now: Timestamp,
         ticket: Ticket,
         view: &View<'_>,
         servers: impl Iterator<Item = &'a Server>,
@@ -244,7 +244,7 @@
     /// can its prompt not be read in time?
     pub fn is_short<'a>(
         &self,
-        now: Moment,
+        now: Timestamp,
         need: &Need,
         view: &View<'_>,
         servers: impl Iterator<Item = &'a Server>,
@@ -263,7 +263,7 @@
     /// or waited for is kept for those who come here.
     pub fn lend<'a>(
         &self,
-        now: Moment,
+        now: Timestamp,
         need: &Need,
         view: &View<'_>,
         servers: impl Iterator<Item = &'a Server>,
@@ -299,7 +299,7 @@
     }
 
     /// A place came free; `whole` when an answer ended there.
-    pub fn freed(&mut self, now: Moment, id: &ServerId, memory: Profile, whole: bool) {
+    pub fn freed(&mut self, now: Timestamp, id: &ServerId, memory: Profile, whole: bool) {
         if let Some(record) = self.records.get_mut(id) {
             record.own.memory = record.own.memory.minus(memory);
             record.own.count = record.own.count.saturating_sub(1);
@@ -329,12 +329,12 @@
     }
 
     /// An engine refused a reservation.
-    pub fn full(&mut self, now: Moment, id: &ServerId) {
+    pub fn full(&mut self, now: Timestamp, id: &ServerId) {
         self.records.entry(id.clone()).or_default().full_until = now.after(FULL_REST);
     }
 
     /// An engine turned away a request that had a reservation.
-    pub fn rejected(&mut self, now: Moment, id: &ServerId) {
+    pub fn rejected(&mut self, now: Timestamp, id: &ServerId) {
         let record = self.records.entry(id.clone()).or_default();
         let rest = REJECT_REST * 2_u32.pow(record.rejects.min(REJECT_DOUBLINGS));
         record.rejects += 1;
@@ -349,23 +349,23 @@
     }
 
     /// An engine takes nothing until then.
-    pub fn rest(&mut self, id: &ServerId, until: Moment) {
+    pub fn rest(&mut self, id: &ServerId, until: Timestamp) {
         let record = self.records.entry(id.clone()).or_default();
         record.fault_until = record.fault_until.max(until);
     }
 
     /// An engine could not be reached or failed.
-    pub fn fault(&mut self, now: Moment, id: &ServerId) {
+    pub fn fault(&mut self, now: Timestamp, id: &ServerId) {
         self.records.entry(id.clone()).or_default().fault_until = now.after(FAULT_REST);
     }
 
     /// Is an engine passed over because it failed lately?
-    pub fn faulty(&self, now: Moment, id: &ServerId) -> bool {
+    pub fn faulty(&self, now: Timestamp, id: &ServerId) -> bool {
         self.records.get(id).is_some_and(|r| r.fault_until > now)
     }
 
     /// May an engine be asked to take something now?
-    pub fn may_take(&self, now: Moment, id: &ServerId) -> bool {
+    pub fn may_take(&self, now: Timestamp, id: &ServerId) -> bool {
         let rests = |r: &Record| r.full_until > now || r.fault_until > now;
         !self.records.get(id).is_some_and(rests)
     }
@@ -405,7 +405,7 @@
     /// Part of the memory of all engines that can be used and that answers may still be placed in.
     pub fn free(
         &self,
-        now: Moment,
+        now: Timestamp,
         servers: &[&Server],
         engine: &Engine,
         work: impl Fn(&ServerId) -> Work,
@@ -422,7 +422,7 @@
     /// How many more answers that take `usual` these engines can have now.
     pub fn places(
         &self,
-        now: Moment,
+        now: Timestamp,
         servers: &[&Server],
         engine: &Engine,
         usual: Profile,
@@ -438,7 +438,7 @@
     }
 
     /// When a request with so many ahead of it gets a place, by the pace of the last ends.
-    fn foretold(&self, now: Moment, ahead: usize) -> Moment {
+    fn foretold(&self, now: Timestamp, ahead: usize) -> Timestamp {
         let since = now.before(ENDS_SPAN);
         let ends = self.ends.iter().rev().take_while(|at| **at >= since).count();
         let gap = ENDS_SPAN.as_secs_f64() / (ends as f64).max(1.0);
@@ -449,7 +449,7 @@
     /// suffice.
     fn roomiest(
         &self,
-        now: Moment,
+        now: Timestamp,
         servers: &[&Server],
         view: &View<'_>,
         work: &impl Fn(&ServerId) -> Work,
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use serde::{Deserialize, Serialize};
 
 use crate::delegate::PER_ZONE;
@@ -35,14 +35,14 @@
 pub struct Fleet {
     gateways: BTreeMap<String, Gateway>,
     /// Those of them whose registration is gone, and until when they count.
-    lapsed: BTreeMap<String, Moment>,
+    lapsed: BTreeMap<String, Timestamp>,
     revision: u64,
     edition: u64,
 }
 
 impl Fleet {
     /// Takes the whole list as of a revision, unless a newer one is known.
-    pub fn replace(&mut self, now: Moment, list: BTreeMap<String, Gateway>, revision: u64) {
+    pub fn replace(&mut self, now: Timestamp, list: BTreeMap<String, Gateway>, revision: u64) {
         if revision < self.revision {
             return;
         }
@@ -58,7 +58,7 @@
     }
 
     /// A gateway registered, or its registration is gone.
-    pub fn apply(&mut self, now: Moment, name: &str, gateway: Option<Gateway>, revision: u64) {
+    pub fn apply(&mut self, now: Timestamp, name: &str, gateway: Option<Gateway>, revision: u64) {
         if revision < self.revision {
             return;
         }
@@ -76,7 +76,7 @@
     }
 
     /// Forgets gateways whose registration has been gone for long.
-    pub fn expire(&mut self, now: Moment) {
+    pub fn expire(&mut self, now: Timestamp) {
         let over = |name: &String| self.lapsed.get(name).is_some_and(|until| *until <= now);
         let before = self.gateways.len();
         self.gateways.retain(|name, _| !over(name));
--- a/crates/router/src/holder.rs
+++ b/crates/router/src/holder.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use serde::{Deserialize, Serialize};
 
 use crate::catalog::{ServerId, Stage};
@@ -48,17 +48,17 @@
     /// The lease in the store.
     pub lease: u64,
     /// When the lease lapses at the earliest.
-    ends_at: Moment,
+    ends_at: Timestamp,
     /// When the first order may go out.
-    orders_at: Moment,
+    orders_at: Timestamp,
 }
 
 impl Held {
     /// The right was taken by a call sent at `sent`, answered at `now`; `first` when nobody ever
     /// held it before.
     pub fn taken(
-        sent: Moment,
-        now: Moment,
+        sent: Timestamp,
+        now: Timestamp,
         fence: u64,
         lease: u64,
         gap: Duration,
@@ -69,17 +69,17 @@
     }
 
     /// A renewal sent at `sent` was acknowledged.
-    pub fn renewed(&mut self, sent: Moment) {
+    pub fn renewed(&mut self, sent: Timestamp) {
         self.ends_at = self.ends_at.max(sent.after(LEASE));
     }
 
     /// May an order go out now?
-    pub fn may_order(&self, now: Moment) -> bool {
+    pub fn may_order(&self, now: Timestamp) -> bool {
         now >= self.orders_at && now < self.ends_at.before(MARGIN)
     }
 
     /// Has the lease lapsed for certain, as far as this process can tell?
-    pub fn lapsed(&self, now: Moment) -> bool {
+    pub fn lapsed(&self, now: Timestamp) -> bool {
         now >= self.ends_at
     }
 }
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use ebonyloft_core::config::Rate;
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use serde::{Deserialize, Serialize};
 
 use crate::catalog::ServerId;
@@ -60,7 +60,7 @@
     version: u64,
     limit: Option<Limit>,
     /// When an answer or a peer said so last.
-    said_at: Moment,
+    said_at: Timestamp,
 }
 
 /// The limits of all servers that named one.
@@ -74,9 +74,9 @@
     /// news.
     pub fn answered(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         id: &ServerId,
-        sent: Moment,
+        sent: Timestamp,
         limit: Option<Limit>,
     ) -> Option<Named> {
         let Some(known) = self.known.get_mut(id) else {
@@ -100,7 +100,7 @@
     }
 
     /// A peer's word; true when it is news. Of two words under one number the stricter one counts.
-    pub fn hear(&mut self, now: Moment, word: &Named) -> bool {
+    pub fn hear(&mut self, now: Timestamp, word: &Named) -> bool {
         let strictness = |limit: Option<Limit>| limit.map_or(0, |l| u64::from(u32::MAX - l.0) + 1);
         let rank = |version, limit| (version, strictness(limit));
         let known = self.known.get(&word.server);
@@ -140,7 +140,13 @@
         self.known.retain(|id, _| alive(id));
     }
 
-    fn change(&mut self, now: Moment, id: &ServerId, version: u64, limit: Option<Limit>) -> Named {
+    fn change(
+        &mut self,
+        now: Timestamp,
+        id: &ServerId,
+        version: u64,
+        limit: Option<Limit>,
+    ) -> Named {
         self.known.insert(id.clone(), Known { version, limit, said_at: now });
         Named { server: id.clone(), version, limit }
     }
--- a/crates/router/src/line.rs
+++ b/crates/router/src/line.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 
 use crate::outcome::{Fate, Load};
 use crate::plain::{START_MS, STUCK};
@@ -45,7 +45,7 @@
     /// Send it now.
     Go,
     /// Wait for a call to end, at most until this moment.
-    Wait(Moment),
+    Wait(Timestamp),
     /// It can't be in time.
     Refuse,
 }
@@ -53,22 +53,22 @@
 #[derive(Clone, Copy, Debug)]
 struct Waiter {
     /// When its answer is in time.
-    goal: Moment,
+    goal: Timestamp,
     /// When it is refused.
-    until: Moment,
+    until: Timestamp,
 }
 
 /// Calls of one service at this entry.
 #[derive(Clone, Debug)]
 pub struct Line {
     window: f64,
-    open: Vec<Moment>,
+    open: Vec<Timestamp>,
     waiting: BTreeMap<Ticket, Waiter>,
     next: u64,
     /// Usual time of a call in seconds.
     took: f64,
     /// Calls sent before this moment have been judged by an earlier cut.
-    cut_at: Moment,
+    cut_at: Timestamp,
 }
 
 impl Default for Line {
@@ -79,14 +79,14 @@
             waiting: BTreeMap::new(),
             next: 0,
             took: START_MS / 1e3,
-            cut_at: Moment::default(),
+            cut_at: Timestamp::default(),
         }
     }
 }
 
 impl Line {
     /// A call comes; it is in time until `goal`, which is `length` after its caller began.
-    pub fn join(&mut self, now: Moment, goal: Moment, length: Duration) -> Ticket {
+    pub fn join(&mut self, now: Timestamp, goal: Timestamp, length: Duration) -> Ticket {
         self.next += 1;
         let ticket = Ticket(self.next);
         let until = now.after(length.mul_f64(WAIT_PART));
@@ -100,7 +100,7 @@
     }
 
     /// What a waiting call should do now.
-    pub fn turn(&self, now: Moment, ticket: Ticket) -> Turn {
+    pub fn turn(&self, now: Timestamp, ticket: Ticket) -> Turn {
         let Some(waiter) = self.waiting.get(&ticket) else {
             return Turn::Refuse;
         };
@@ -120,17 +120,17 @@
     }
 
     /// Is there room for one more now, with nobody waiting for it?
-    pub fn has_room(&self, now: Moment) -> bool {
+    pub fn has_room(&self, now: Timestamp) -> bool {
         self.free(now) >= 1.0 && self.waiting.is_empty()
     }
 
     /// A call was sent.
-    pub fn sent(&mut self, now: Moment) {
+    pub fn sent(&mut self, now: Timestamp) {
         self.open.push(now);
     }
 
     /// A call ended that was sent at `sent`.
-    pub fn ended(&mut self, now: Moment, sent: Moment, fate: Fate, load: Option<Load>) {
+    pub fn ended(&mut self, now: Timestamp, sent: Timestamp, fate: Fate, load: Option<Load>) {
         let full = self.free(now) < 1.0;
         self.dropped(sent);
         if let Fate::Answered(_) = fate {
@@ -151,7 +151,7 @@
     }
 
     /// A call was given up; nothing is learnt from it.
-    pub fn dropped(&mut self, sent: Moment) {
+    pub fn dropped(&mut self, sent: Timestamp) {
         if let Some(i) = self.open.iter().position(|at| *at == sent) {
             self.open.swap_remove(i);
         }
@@ -172,7 +172,7 @@
     }
 
     /// One cut for all calls that were under way together.
-    fn cut(&mut self, now: Moment, sent: Moment, part: f64) {
+    fn cut(&mut self, now: Timestamp, sent: Timestamp, part: f64) {
         if sent >= self.cut_at {
             self.window = (self.window * part).max(LEAST);
             self.cut_at = now;
@@ -181,7 +181,7 @@
 
     /// Calls that may still be sent. Stuck ones don't count: they say something of one backend server,
     /// and would hold up the others.
-    fn free(&self, now: Moment) -> f64 {
+    fn free(&self, now: Timestamp) -> f64 {
         let open = self.open.iter().filter(|at| now.since(**at) < STUCK).count();
         self.window - open as f64
     }
--- a/crates/router/src/losses.rs
+++ b/crates/router/src/losses.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 
 use crate::catalog::{Server, ServerId};
 use crate::content::Content;
@@ -38,9 +38,9 @@
     /// It had only just begun.
     pub early: bool,
     /// When it was sent.
-    pub sent: Moment,
+    pub sent: Timestamp,
     /// When it was lost.
-    pub at: Moment,
+    pub at: Timestamp,
     /// Number of the inquiry.
     pub number: u64,
 }
@@ -62,7 +62,7 @@
 struct Case {
     addr: SocketAddr,
     losses: Vec<Loss>,
-    ask_at: Moment,
+    ask_at: Timestamp,
     asked: u32,
     refusals: u32,
 }
@@ -89,7 +89,7 @@
     }
 
     /// The server answered what was sent to it at `sent`: what broke off before did not end it.
-    pub fn alive(&mut self, id: &ServerId, sent: Moment) -> Vec<Loss> {
+    pub fn alive(&mut self, id: &ServerId, sent: Timestamp) -> Vec<Loss> {
         let Some(case) = self.cases.get_mut(id) else {
             return Vec::new();
         };
@@ -129,7 +129,7 @@
     }
 
     /// Servers to be asked now; each is asked again later unless something is learned.
-    pub fn ask(&mut self, now: Moment) -> Vec<(ServerId, SocketAddr)> {
+    pub fn ask(&mut self, now: Timestamp) -> Vec<(ServerId, SocketAddr)> {
         let mut due = Vec::new();
         for (id, case) in &mut self.cases {
             if case.ask_at <= now && case.asked < ASKS_MAX {
@@ -142,7 +142,7 @@
     }
 
     /// When a server is to be asked next.
-    pub fn next_ask(&self) -> Option<Moment> {
+    pub fn next_ask(&self) -> Option<Timestamp> {
         let asks = self.cases.values().filter(|case| case.asked < ASKS_MAX);
         asks.map(|case| case.ask_at).min()
     }
@@ -163,7 +163,7 @@
     }
 
     /// Losses of which nothing was learned in time.
-    pub fn expire(&mut self, now: Moment) -> Vec<(ServerId, Loss)> {
+    pub fn expire(&mut self, now: Timestamp) -> Vec<(ServerId, Loss)> {
         let mut over = Vec::new();
         for (id, case) in &mut self.cases {
             let (old, left) =
--- a/crates/router/src/patience.rs
+++ b/crates/router/src/patience.rs
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 
 /// How long the longest deadline that was seen counts, at most twice; many callers come within it,
 /// and a changed habit shows within it.
@@ -20,7 +20,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Longest {
-    since: Moment,
+    since: Timestamp,
     before: Duration,
     now: Duration,
 }
@@ -36,7 +36,7 @@
     /// spent in earlier attempts; zero when it may be the first one.
     pub fn spent(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         route: &str,
         timeout: Duration,
         left: Duration,
--- a/crates/router/src/pauses.rs
+++ b/crates/router/src/pauses.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 
 use crate::catalog::ServerId;
 use crate::outcome::Pause;
@@ -19,12 +19,12 @@
 /// Servers that want nothing for a while.
 #[derive(Clone, Debug, Default)]
 pub struct Pauses {
-    until: HashMap<ServerId, Moment>,
+    until: HashMap<ServerId, Timestamp>,
 }
 
 impl Pauses {
     /// A server said that it wants nothing; gives until when, and whether that is what it said.
-    pub fn note(&mut self, now: Moment, id: &ServerId, pause: Pause) -> (Moment, bool) {
+    pub fn note(&mut self, now: Timestamp, id: &ServerId, pause: Pause) -> (Timestamp, bool) {
         let (time, as_said) = match pause {
             Pause::For(time) => (time.min(PAUSE_MAX), time <= PAUSE_MAX),
             Pause::Unreadable => (PAUSE_UNREADABLE, false),
@@ -37,25 +37,25 @@
     }
 
     /// May a server be sent something?
-    pub fn is_open(&self, now: Moment, id: &ServerId) -> bool {
+    pub fn is_open(&self, now: Timestamp, id: &ServerId) -> bool {
         self.until(now, id).is_none()
     }
 
     /// Until when a server wants nothing; none when it takes something.
-    pub fn until(&self, now: Moment, id: &ServerId) -> Option<Moment> {
+    pub fn until(&self, now: Timestamp, id: &ServerId) -> Option<Timestamp> {
         self.until.get(id).copied().filter(|until| *until > now)
     }
 
     /// Forgets pauses that are over.
-    pub fn expire(&mut self, now: Moment) {
+    pub fn expire(&mut self, now: Timestamp) {
         self.until.retain(|_, until| *until > now);
     }
 }
 
 /// When the first of some servers takes something again, by when each does; none when one does now, or there
 /// is none.
-pub fn soonest(servers: impl Iterator<Item = Option<Moment>>) -> Option<Moment> {
-    let mut first: Option<Moment> = None;
+pub fn soonest(servers: impl Iterator<Item = Option<Timestamp>>) -> Option<Timestamp> {
+    let mut first: Option<Timestamp> = None;
     for until in servers {
         let until = until?;
         first = Some(first.map_or(until, |f| f.min(until)));
--- a/crates/router/src/plain.rs
+++ b/crates/router/src/plain.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 
 use crate::catalog::{Server, ServerId};
 use crate::outcome::{Fate, Load};
@@ -34,16 +34,16 @@
 
 #[derive(Clone, Debug, Default)]
 struct Record {
-    open: Vec<Moment>,
+    open: Vec<Timestamp>,
     ms: Option<f64>,
     fails: f64,
-    judged_at: Moment,
-    rests_until: Moment,
-    load: Option<(Moment, Load)>,
+    judged_at: Timestamp,
+    rests_until: Timestamp,
+    load: Option<(Timestamp, Load)>,
 }
 
 impl Record {
-    fn close(&mut self, sent: Moment) {
+    fn close(&mut self, sent: Timestamp) {
         if let Some(i) = self.open.iter().position(|at| *at == sent) {
             self.open.swap_remove(i);
         }
@@ -60,7 +60,7 @@
     /// The best backend server that was not tried yet; `draw` is uniform in 0..1 and breaks ties.
     pub fn pick<'a>(
         &self,
-        now: Moment,
+        now: Timestamp,
         zone: &str,
         servers: impl Iterator<Item = &'a Server>,
         tried: &[ServerId],
@@ -74,7 +74,7 @@
     }
 
     /// Expected cost of a call at this server, in milliseconds.
-    pub fn cost(&self, now: Moment, zone: &str, server: &Server) -> f64 {
+    pub fn cost(&self, now: Timestamp, zone: &str, server: &Server) -> f64 {
         let apart = if server.zone == zone { 0.0 } else { ZONE_MS };
         let Some(record) = self.records.get(&server.id) else {
             return START_MS + apart;
@@ -100,16 +100,16 @@
     }
 
     /// A call was sent.
-    pub fn sent(&mut self, now: Moment, id: &ServerId) {
+    pub fn sent(&mut self, now: Timestamp, id: &ServerId) {
         self.records.entry(id.clone()).or_default().open.push(now);
     }
 
     /// A call ended that was sent at `sent`.
     pub fn ended(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         id: &ServerId,
-        sent: Moment,
+        sent: Timestamp,
         fate: Fate,
         load: Option<Load>,
     ) {
@@ -133,7 +133,7 @@
     }
 
     /// A call was given up because its caller is gone.
-    pub fn dropped(&mut self, id: &ServerId, sent: Moment) {
+    pub fn dropped(&mut self, id: &ServerId, sent: Timestamp) {
         if let Some(record) = self.records.get_mut(id) {
             record.close(sent);
         }
--- a/crates/router/src/prefill.rs
+++ b/crates/router/src/prefill.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 
 use crate::catalog::{Server, ServerId};
 use crate::reading::Reading;
@@ -66,12 +66,12 @@
 /// The reader with the earliest end among some, and that moment; `work` is the work of all entries
 /// at an engine, `draw` is uniform in 0..1.
 pub fn pick<'a>(
-    now: Moment,
+    now: Timestamp,
     readers: impl Iterator<Item = &'a Server>,
     work: impl Fn(&ServerId) -> Work,
     choice: &Choice<'_>,
     mut draw: impl FnMut() -> f64,
-) -> Option<(&'a Server, Moment)> {
+) -> Option<(&'a Server, Timestamp)> {
     let mut readers: Vec<(f64, &Server)> = readers.map(|s| (draw(), s)).collect();
     readers.sort_by(|a, b| a.0.total_cmp(&b.0));
     let few = compared(readers.len(), choice.entries);
@@ -89,7 +89,7 @@
     // One of the zone is looked at besides; the engines that write are spread over the zones.
     let (few, others) = readers.split_at(few.min(readers.len()));
     let near = others.iter().find(|(_, s)| s.zone == choice.zone);
-    let first = |at: &(Moment, Moment, &Server)| at.1;
+    let first = |at: &(Timestamp, Timestamp, &Server)| at.1;
     let some = few.iter().chain(near).filter_map(rank).min_by_key(first);
     // When all of the few are full, the others are looked at too.
     let found = some.or_else(|| others.iter().filter_map(rank).min_by_key(first));
--- a/crates/router/src/pulls.rs
+++ b/crates/router/src/pulls.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use serde::{Deserialize, Serialize};
 
 /// Shortest time between two calls to one peer for the same part, so that one which is a step ahead all the
@@ -70,20 +70,20 @@
     lists: Calls,
     /// Revisions of the lists that are known here, and since when peers know newer ones.
     lists_known: (u64, u64),
-    behind_since: Option<Moment>,
+    behind_since: Option<Timestamp>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Calls {
     under_way: bool,
-    begun: HashMap<SocketAddr, Moment>,
-    rests_until: Moment,
+    begun: HashMap<SocketAddr, Timestamp>,
+    rests_until: Timestamp,
 }
 
 impl Pulls {
     /// Should the lists of a peer that knows `theirs` be fetched by a gateway that hears the store itself?
     /// Not for as long as its own answer from there may be on the way.
-    pub fn is_behind(&mut self, now: Moment, own: Versions, theirs: Versions) -> bool {
+    pub fn is_behind(&mut self, now: Timestamp, own: Versions, theirs: Versions) -> bool {
         let lists = (own.roster, own.fleet);
         if self.lists_known != lists {
             (self.lists_known, self.behind_since) = (lists, None);
@@ -95,7 +95,7 @@
     }
 
     /// May this peer be asked for the part now? Notes that it is.
-    pub fn begin(&mut self, now: Moment, part: Part, from: SocketAddr) -> bool {
+    pub fn begin(&mut self, now: Timestamp, part: Part, from: SocketAddr) -> bool {
         let calls = self.calls(part);
         calls.begun.retain(|_, at| now.since(*at) <= GAP);
         if calls.under_way || now < calls.rests_until || calls.begun.contains_key(&from) {
@@ -107,7 +107,7 @@
     }
 
     /// The call for the part has ended; `got` when it brought something.
-    pub fn end(&mut self, now: Moment, part: Part, got: bool) {
+    pub fn end(&mut self, now: Timestamp, part: Part, got: bool) {
         let calls = self.calls(part);
         calls.under_way = false;
         if !got {
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -11,7 +11,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use serde::{Deserialize, Serialize};
 
 use crate::catalog::ServerId;
@@ -56,7 +56,7 @@
     /// It had only just begun to run the content.
     pub early: bool,
     /// When the run was lost.
-    pub at: Moment,
+    pub at: Timestamp,
 }
 
 /// What gateways tell each other of a content.
@@ -107,9 +107,9 @@
     /// It is tried, by nobody else meanwhile.
     Suspect,
     /// It is being tried or looked into until then at the latest.
-    Held(Moment),
+    Held(Timestamp),
     /// It is refused until then.
-    Proved(Moment),
+    Proved(Timestamp),
 }
 
 /// What a fact changed.
@@ -128,13 +128,13 @@
 #[derive(Clone, Debug, Default)]
 struct Row {
     endings: Vec<Ending>,
-    proved_at: Option<Moment>,
+    proved_at: Option<Timestamp>,
     /// Endings up to then don't count: it was answered whole.
-    served_at: Moment,
+    served_at: Timestamp,
     /// Neither endings nor proofs up to then count: an operator let it in.
-    released_at: Moment,
+    released_at: Timestamp,
     /// Trials and inquiries, by their numbers, and until when each counts at the latest.
-    holds: Vec<(u64, Moment)>,
+    holds: Vec<(u64, Timestamp)>,
 }
 
 impl Row {
@@ -143,7 +143,7 @@
         self.endings.iter().map(points).sum()
     }
 
-    fn held_until(&self) -> Moment {
+    fn held_until(&self) -> Timestamp {
         self.holds.iter().map(|(_, until)| *until).max().unwrap_or_default()
     }
 
@@ -152,17 +152,17 @@
     }
 
     /// Until when it matters at all.
-    fn ends_at(&self) -> Moment {
-        let proof = self.proved_at.map_or(Moment::default(), |at| at.after(PROVED_LIFE));
+    fn ends_at(&self) -> Timestamp {
+        let proof = self.proved_at.map_or(Timestamp::default(), |at| at.after(PROVED_LIFE));
         let endings = self.endings.iter().map(|e| e.at.after(SUSPECT_LIFE)).max();
         let cleared = self.served_at.max(self.released_at);
         // A clearing must outlive the endings that others may still tell.
         let cleared =
-            if cleared > Moment::default() { cleared.after(SUSPECT_LIFE) } else { cleared };
+            if cleared > Timestamp::default() { cleared.after(SUSPECT_LIFE) } else { cleared };
         proof.max(endings.unwrap_or_default()).max(cleared).max(self.held_until())
     }
 
-    fn standing(&self, now: Moment) -> Standing {
+    fn standing(&self, now: Timestamp) -> Standing {
         if let Some(at) = self.proved_at
             && at.after(PROVED_LIFE) > now
         {
@@ -180,14 +180,14 @@
 pub struct Quarantine {
     rows: HashMap<Content, Row>,
     /// Contents that were answered whole here, and when.
-    sound: HashMap<Content, Moment>,
+    sound: HashMap<Content, Timestamp>,
     /// Rows at which their numbers are looked at again.
     look_at: usize,
 }
 
 impl Quarantine {
     /// How a request is treated.
-    pub fn standing(&self, now: Moment, content: &Content) -> Standing {
+    pub fn standing(&self, now: Timestamp, content: &Content) -> Standing {
         self.rows.get(content).map_or(Standing::Free, |row| row.standing(now))
     }
 
@@ -208,7 +208,7 @@
     }
 
     /// A content was answered whole here; true when others should hear of it.
-    pub fn served_here(&mut self, now: Moment, content: Content) -> bool {
+    pub fn served_here(&mut self, now: Timestamp, content: Content) -> bool {
         if self.sound.len() >= SOUND_MAX {
             self.sound.retain(|_, at| at.after(SOUND_LIFE) > now);
         }
@@ -220,12 +220,12 @@
     }
 
     /// Was a content answered whole here shortly before a moment, or since?
-    pub fn is_sound(&self, at: Moment, content: &Content) -> bool {
+    pub fn is_sound(&self, at: Timestamp, content: &Content) -> bool {
         self.sound.get(content).is_some_and(|served| served.after(SOUND_LIFE) > at)
     }
 
     /// Takes what happened here, or what a peer tells.
-    pub fn take(&mut self, now: Moment, word: &Word) -> Change {
+    pub fn take(&mut self, now: Timestamp, word: &Word) -> Change {
         let (content, at) = (word.content, now.before(Duration::from_millis(word.age)));
         match &word.fact {
             Fact::Lost(number) => self.hold(now, content, *number, at.after(INQUIRY_LIFE)),
@@ -242,7 +242,7 @@
         Change::Nothing
     }
 
-    fn hold(&mut self, now: Moment, content: Content, number: u64, until: Moment) {
+    fn hold(&mut self, now: Timestamp, content: Content, number: u64, until: Timestamp) {
         let row = self.rows.entry(content).or_default();
         row.holds.retain(|(_, until)| *until > now);
         if row.holds.len() < HOLDS_MAX && row.holds.iter().all(|(n, _)| *n != number) {
@@ -252,14 +252,14 @@
     }
 
     /// Only its own hold: others may still be looked into.
-    fn let_go(&mut self, now: Moment, content: Content, number: u64) {
+    fn let_go(&mut self, now: Timestamp, content: Content, number: u64) {
         let Some(row) = self.rows.get_mut(&content) else {
             return;
         };
         row.holds.retain(|(n, until)| *n != number && *until > now);
     }
 
-    fn ended(&mut self, now: Moment, content: Content, ending: Ending) -> Change {
+    fn ended(&mut self, now: Timestamp, content: Content, ending: Ending) -> Change {
         if ending.at.after(SUSPECT_LIFE) <= now {
             return Change::Nothing;
         }
@@ -280,7 +280,7 @@
     }
 
     /// One that is proved stays so: the answer may have begun before.
-    fn served(&mut self, content: Content, at: Moment) -> Change {
+    fn served(&mut self, content: Content, at: Timestamp) -> Change {
         let Some(row) = self.rows.get_mut(&content).filter(|row| row.proved_at.is_none()) else {
             return Change::Nothing;
         };
@@ -291,7 +291,7 @@
         if row.endings.len() < before { Change::Cleared } else { Change::Nothing }
     }
 
-    fn proved(&mut self, now: Moment, content: Content, at: Moment) -> Change {
+    fn proved(&mut self, now: Timestamp, content: Content, at: Timestamp) -> Change {
         if at.after(PROVED_LIFE) <= now {
             return Change::Nothing;
         }
@@ -305,7 +305,7 @@
         change
     }
 
-    fn released(&mut self, content: Content, at: Moment) -> Change {
+    fn released(&mut self, content: Content, at: Timestamp) -> Change {
         let row = self.rows.entry(content).or_default();
         if at <= row.released_at {
             return Change::Nothing;
@@ -318,18 +318,18 @@
     }
 
     /// Everything that a peer should know, for one that knows something else.
-    pub fn table(&self, now: Moment) -> Vec<Word> {
+    pub fn table(&self, now: Timestamp) -> Vec<Word> {
         let mut words = Vec::new();
         for (content, row) in &self.rows {
-            let mut tell = |at: Moment, fact| {
+            let mut tell = |at: Timestamp, fact| {
                 let age = now.since(at).as_millis() as u64;
                 words.push(Word { content: *content, age, fact });
             };
             // What voids goes first.
-            if row.released_at > Moment::default() {
+            if row.released_at > Timestamp::default() {
                 tell(row.released_at, Fact::Released);
             }
-            if row.served_at > Moment::default() {
+            if row.served_at > Timestamp::default() {
                 tell(row.served_at, Fact::Served);
             }
             for e in &row.endings {
@@ -355,7 +355,7 @@
     }
 
     /// Forgets what does not matter any more; the proved ones among it.
-    pub fn expire(&mut self, now: Moment) -> Vec<Content> {
+    pub fn expire(&mut self, now: Timestamp) -> Vec<Content> {
         let over = |row: &Row| row.ends_at() <= now;
         let proved = |(content, row): (&Content, &Row)| {
             (over(row) && row.proved_at.is_some()).then_some(*content)
@@ -375,7 +375,7 @@
             return;
         }
         for (proved, most) in [(false, SUSPECTS_MAX), (true, PROVED_MAX)] {
-            let mut rows: Vec<(u32, Moment, Content)> = self
+            let mut rows: Vec<(u32, Timestamp, Content)> = self
                 .rows
                 .iter()
                 .filter(|(_, row)| row.proved_at.is_some() == proved)
--- a/crates/router/src/quota/lender.rs
+++ b/crates/router/src/quota/lender.rs
@@ -5,7 +5,7 @@
 
 use ebonyloft_core::config::Rate;
 use ebonyloft_core::limits::Bucket;
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 
 use super::{Ask, Key, Reply};
 use crate::node::Excess;
@@ -23,7 +23,7 @@
     /// As the operator set it.
     bound: Rate,
     /// When the last of those who were sent away comes back.
-    back_at: Moment,
+    back_at: Timestamp,
 }
 
 /// For how long a question that is asked again gets the same answer: its first answer may have been lost.
@@ -42,16 +42,16 @@
 pub struct Lender {
     rows: HashMap<Key, Row>,
     /// What was lent lately, by the question's number.
-    lent: VecDeque<(Moment, u64, Reply)>,
+    lent: VecDeque<(Timestamp, u64, Reply)>,
     /// Since when the ranks of gateways are as they are.
-    ranked_at: Moment,
+    ranked_at: Timestamp,
     edition: u64,
-    ticked_at: Moment,
+    ticked_at: Timestamp,
 }
 
 impl Lender {
     /// Of a process that starts: it has nothing to lend yet.
-    pub fn new(now: Moment) -> Self {
+    pub fn new(now: Timestamp) -> Self {
         Lender {
             rows: HashMap::new(),
             lent: VecDeque::new(),
@@ -62,7 +62,7 @@
     }
 
     /// Time goes on; `edition` is that of the list of gateways.
-    pub fn tick(&mut self, now: Moment, edition: u64) {
+    pub fn tick(&mut self, now: Timestamp, edition: u64) {
         if now.since(self.ticked_at) > PAUSE {
             self.rows.clear();
             self.ranked_at = now;
@@ -80,7 +80,14 @@
     }
 
     /// Lends for a request. `part` of the bound is this home's; `first` when it ranks first for the account.
-    pub fn lend(&mut self, now: Moment, ask: &Ask, bound: &Rate, part: f64, first: bool) -> Reply {
+    pub fn lend(
+        &mut self,
+        now: Timestamp,
+        ask: &Ask,
+        bound: &Rate,
+        part: f64,
+        first: bool,
+    ) -> Reply {
         if part <= 0.0 {
             return Reply::Elsewhere;
         }
@@ -142,12 +149,12 @@
 
 impl Row {
     /// Room comes at `at`; callers come back one behind the other, as fast as the bound allows.
-    fn refuse(&mut self, now: Moment, at: Moment, seconds: f64) -> Reply {
+    fn refuse(&mut self, now: Timestamp, at: Timestamp, seconds: f64) -> Reply {
         let last = now.after(SPREAD_MAX);
         let back_at = self.back_at.max(at).min(last.max(at));
         let turn = Duration::try_from_secs_f64(seconds).unwrap_or(SPREAD_MAX);
         self.back_at = back_at.after(turn).min(last);
-        let millis = |at: Moment| at.since(now).as_millis().min(u128::from(u32::MAX)) as u32;
+        let millis = |at: Timestamp| at.since(now).as_millis().min(u128::from(u32::MAX)) as u32;
         Reply::Over { room: millis(at), back: millis(back_at) }
     }
 }
--- a/crates/router/src/recency.rs
+++ b/crates/router/src/recency.rs
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 
 /// A store that drops its history keeps changes from those who wait for them for as long before.
 pub const DEAF: Duration = Duration::from_millis(1_000);
@@ -26,11 +26,11 @@
 /// What one gateway knows of its configuration's age.
 #[derive(Clone, Debug, Default)]
 pub struct Recency {
-    held_at: Moment,
+    held_at: Timestamp,
     /// A newer version that others hold, and as of when that is the newest.
-    ahead: Option<(u64, Moment)>,
-    asked: HashMap<u64, Moment>,
-    ask_at: Moment,
+    ahead: Option<(u64, Timestamp)>,
+    asked: HashMap<u64, Timestamp>,
+    ask_at: Timestamp,
 }
 
 /// A gateway's word on its configuration.
@@ -44,12 +44,12 @@
 
 impl Recency {
     /// The configuration in force was the newest one at `at`.
-    pub fn confirm(&mut self, at: Moment) {
+    pub fn confirm(&mut self, at: Timestamp) {
         self.held_at = self.held_at.max(at);
     }
 
     /// A watch that was sent at `sent`, to be answered within `wait`, has been answered.
-    pub fn on_watch(&mut self, now: Moment, sent: Moment, wait: Duration, empty: bool) {
+    pub fn on_watch(&mut self, now: Timestamp, sent: Timestamp, wait: Duration, empty: bool) {
         let waited = empty && now >= sent.after(wait);
         let at = if waited { sent.after(wait) } else { sent };
         self.confirm(at.before(DEAF));
@@ -66,27 +66,27 @@
     }
 
     /// As of when the configuration is known to be the newest.
-    pub fn held_at(&self) -> Moment {
+    pub fn held_at(&self) -> Timestamp {
         self.held_at
     }
 
     /// Time since then.
-    pub fn age(&self, now: Moment) -> Duration {
+    pub fn age(&self, now: Timestamp) -> Duration {
         now.since(self.held_at)
     }
 
     /// May requests with keys run, when a key that was taken away must stop within `bound`?
-    pub fn holds(&self, now: Moment, bound: Option<Duration>) -> bool {
+    pub fn holds(&self, now: Timestamp, bound: Option<Duration>) -> bool {
         bound.is_none_or(|bound| self.age(now) < bound.saturating_sub(DRIFT))
     }
 
     /// When the store must have been asked again.
-    pub fn confirm_by(&self, bound: Duration) -> Moment {
+    pub fn confirm_by(&self, bound: Duration) -> Timestamp {
         self.held_at.after(bound.mul_f64(CONFIRM_PART))
     }
 
     /// Should another gateway be asked now? Notes that it is, under this number.
-    pub fn ask(&mut self, now: Moment, bound: Duration, number: u64) -> bool {
+    pub fn ask(&mut self, now: Timestamp, bound: Duration, number: u64) -> bool {
         if self.age(now) < bound.mul_f64(ASK_PART) || now < self.ask_at {
             return false;
         }
@@ -104,7 +104,7 @@
     }
 
     /// Another gateway's word, in answer to what was sent at `sent`.
-    pub fn on_held(&mut self, sent: Moment, version: u64, theirs: Held) {
+    pub fn on_held(&mut self, sent: Timestamp, version: u64, theirs: Held) {
         let at = sent.before(theirs.age);
         if theirs.version <= version {
             return self.confirm(at);
--- a/crates/router/src/roster.rs
+++ b/crates/router/src/roster.rs
@@ -8,7 +8,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use serde::{Deserialize, Serialize};
 
 use crate::catalog::{Server, ServerId};
@@ -77,7 +77,7 @@
     said: BTreeSet<ServerId>,
     revision: u64,
     complete: bool,
-    changed_at: Moment,
+    changed_at: Timestamp,
 }
 
 /// Removals remembered; ids are never used again, and a late registration is seconds late.
@@ -195,12 +195,12 @@
     }
 
     /// A backend server joined or left at this moment.
-    pub fn note_change(&mut self, now: Moment) {
+    pub fn note_change(&mut self, now: Timestamp) {
         self.changed_at = now;
     }
 
     /// When a backend server joined or left last.
-    pub fn changed_at(&self) -> Moment {
+    pub fn changed_at(&self) -> Timestamp {
         self.changed_at
     }
 
--- a/crates/router/src/share.rs
+++ b/crates/router/src/share.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use serde::{Deserialize, Serialize};
 use serde_with::serde_as;
 
@@ -196,7 +196,7 @@
 
 #[derive(Clone, Debug)]
 struct Peer {
-    heard_at: Moment,
+    heard_at: Timestamp,
     share: Share,
 }
 
@@ -208,7 +208,7 @@
 
 impl Shares {
     /// A share arrived; false when it is older than what is known.
-    pub fn hear(&mut self, now: Moment, share: Share) -> bool {
+    pub fn hear(&mut self, now: Timestamp, share: Share) -> bool {
         if let Some(peer) = self.peers.get(&share.name)
             && (peer.share.life, peer.share.seq) >= (share.life, share.seq)
         {
@@ -219,7 +219,7 @@
     }
 
     /// Work of all peers at one engine.
-    pub fn work(&self, now: Moment, id: &ServerId) -> Work {
+    pub fn work(&self, now: Timestamp, id: &ServerId) -> Work {
         let life = SHARE_LIFE.max(pause(self.peers.len()) * ROUNDS);
         let number = id.short_number();
         self.peers
@@ -230,35 +230,35 @@
     }
 
     /// Peers heard lately.
-    pub fn live(&self, now: Moment) -> usize {
+    pub fn live(&self, now: Timestamp) -> usize {
         let life = PEER_LIFE.max(pause(self.peers.len()) * 2 * ROUNDS);
         self.peers.values().filter(|p| now.since(p.heard_at) < life).count()
     }
 
     /// How the peer of this name hears of the store; none when it is silent.
-    pub fn link(&self, now: Moment, name: &str) -> Option<Link> {
+    pub fn link(&self, now: Timestamp, name: &str) -> Option<Link> {
         let peer = self.peers.get(name)?;
         (now.since(peer.heard_at) < SILENT).then_some(peer.share.link)
     }
 
     /// Gateways that this one, called `own`, does not hear.
-    pub fn missing(&self, now: Moment, fleet: &Fleet, own: &str) -> Missing {
+    pub fn missing(&self, now: Timestamp, fleet: &Fleet, own: &str) -> Missing {
         let others = fleet.all().keys().filter(|name| *name != own);
         others.filter(|name| self.lately(now, name).is_none()).map(|n| gateway_number(n)).collect()
     }
 
     /// Whom a gateway misses by its own word; none when it was not heard lately.
-    pub fn missed_by(&self, now: Moment, name: &str) -> Option<&Missing> {
+    pub fn missed_by(&self, now: Timestamp, name: &str) -> Option<&Missing> {
         self.lately(now, name).map(|share| &share.missing)
     }
 
-    fn lately(&self, now: Moment, name: &str) -> Option<&Share> {
+    fn lately(&self, now: Timestamp, name: &str) -> Option<&Share> {
         let peer = self.peers.get(name)?;
         (now.since(peer.heard_at) < SILENT).then_some(&peer.share)
     }
 
     /// The best way in which any peer that was heard lately follows the store.
-    pub fn best_link(&self, now: Moment) -> Link {
+    pub fn best_link(&self, now: Timestamp) -> Link {
         let rank = |link: &Link| match link {
             Link::Heard { settles, .. } => (0, *settles),
             Link::Away => (1, 0),
@@ -270,7 +270,7 @@
 
     /// As of when a list of backend servers of this revision is known to hold: peers that follow the store
     /// and know nothing newer say so. None when no such peer was heard lately.
-    pub fn known_at(&self, now: Moment, roster: u64) -> Option<Moment> {
+    pub fn known_at(&self, now: Timestamp, roster: u64) -> Option<Timestamp> {
         let heard = self.peers.values().filter(|p| now.since(p.heard_at) < SILENT);
         let knows_no_more = heard.filter(|p| p.share.roster <= roster);
         let at = knows_no_more.filter_map(|p| match p.share.link {
@@ -281,7 +281,7 @@
     }
 
     /// Forgets peers that fell silent long ago.
-    pub fn expire(&mut self, now: Moment) {
+    pub fn expire(&mut self, now: Timestamp) {
         self.peers.retain(|_, p| now.since(p.heard_at) < PEER_LIFE * 10);
     }
 }
--- a/crates/router/src/stages.rs
+++ b/crates/router/src/stages.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 
 use crate::catalog::{Engine, Server, ServerId, Stage};
 use crate::forecast::Profile;
@@ -129,14 +129,14 @@
 /// Orders that were given and may not show yet.
 #[derive(Clone, Debug, Default)]
 pub struct Planner {
-    given: HashMap<ServerId, (Stage, Moment)>,
+    given: HashMap<ServerId, (Stage, Timestamp)>,
     /// The change that is wanted, and since when, by service.
-    wanted: HashMap<String, (Stage, Moment)>,
+    wanted: HashMap<String, (Stage, Timestamp)>,
 }
 
 impl Planner {
     /// The next engine of a service to change and its new stage; one at a time.
-    pub fn next(&mut self, now: Moment, view: &View<'_>) -> Option<(ServerId, Stage)> {
+    pub fn next(&mut self, now: Timestamp, view: &View<'_>) -> Option<(ServerId, Stage)> {
         self.forget_done(now, view.groups);
         let change = self.change(view);
         if !self.lasts(now, view, change.map(|(_, stage)| stage)) {
@@ -187,7 +187,7 @@
 
     /// Has this change been wanted for long enough? Before answers were seen nothing moves what is
     /// wanted, and callers have not come yet: it is made at once.
-    fn lasts(&mut self, now: Moment, view: &View<'_>, change: Option<Stage>) -> bool {
+    fn lasts(&mut self, now: Timestamp, view: &View<'_>, change: Option<Stage>) -> bool {
         let Some(stage) = change else {
             self.wanted.remove(view.service);
             return false;
@@ -206,7 +206,7 @@
     }
 
     /// Forgets orders that show, and those that did not in time.
-    fn forget_done(&mut self, now: Moment, groups: &[Vec<&Server>]) {
+    fn forget_done(&mut self, now: Timestamp, groups: &[Vec<&Server>]) {
         let shows = |id: &ServerId, stage: Stage| {
             groups.iter().flatten().any(|s| s.id == *id && s.stage == Some(stage))
         };
@@ -214,7 +214,7 @@
     }
 
     /// An order was sent; it may show late.
-    pub fn given(&mut self, now: Moment, id: &ServerId, stage: Stage, engine: &Engine) {
+    pub fn given(&mut self, now: Timestamp, id: &ServerId, stage: Stage, engine: &Engine) {
         self.given.insert(id.clone(), (stage, now.after(engine.switch).after(SETTLE)));
     }
 
--- a/crates/router/src/zones.rs
+++ b/crates/router/src/zones.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use serde::{Deserialize, Serialize};
 
 use crate::engines::TIGHT;
@@ -63,12 +63,12 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Memory {
     most: u64,
-    seen_at: Moment,
+    seen_at: Timestamp,
 }
 
 impl Memory {
     /// Engines that are registered hold so many tokens together.
-    pub fn observe(&mut self, now: Moment, tokens: u64) {
+    pub fn observe(&mut self, now: Timestamp, tokens: u64) {
         if tokens >= self.most || now.since(self.seen_at) > MEMORY_LIFE {
             *self = Memory { most: tokens, seen_at: now };
         }
@@ -135,14 +135,14 @@
 /// The latest digests of other zones.
 #[derive(Clone, Debug, Default)]
 pub struct Digests {
-    heard: HashMap<String, (Moment, Digest)>,
+    heard: HashMap<String, (Timestamp, Digest)>,
     /// Zones that granted no place, and until when they are not asked again.
-    full: HashMap<String, Moment>,
+    full: HashMap<String, Timestamp>,
 }
 
 impl Digests {
     /// A digest arrived, from its sender or by another gateway; false when it is not news.
-    pub fn hear(&mut self, now: Moment, digest: Digest) -> bool {
+    pub fn hear(&mut self, now: Timestamp, digest: Digest) -> bool {
         if let Some((_, before)) = self.heard.get(&digest.name)
             && (before.life, before.seq) >= (digest.life, digest.seq)
         {
@@ -153,15 +153,15 @@
     }
 
     /// Those that still count.
-    pub fn live(&self, now: Moment) -> impl Iterator<Item = &Digest> {
-        let counts = move |at: &Moment| now.since(*at) < DIGEST_LIFE;
+    pub fn live(&self, now: Timestamp) -> impl Iterator<Item = &Digest> {
+        let counts = move |at: &Timestamp| now.since(*at) < DIGEST_LIFE;
         self.heard.values().filter(move |(at, _)| counts(at)).map(|(_, digest)| digest)
     }
 
     /// The latest of each zone, by zone: what a delegate passes on. Whoever speaks for a zone says much the same,
     /// and in a fleet that starts all do.
-    pub fn passed_on(&self, now: Moment) -> impl Iterator<Item = &Digest> {
-        let mut latest: BTreeMap<&str, (Moment, &Digest)> = BTreeMap::new();
+    pub fn passed_on(&self, now: Timestamp) -> impl Iterator<Item = &Digest> {
+        let mut latest: BTreeMap<&str, (Timestamp, &Digest)> = BTreeMap::new();
         for (at, digest) in self.heard.values().filter(|(at, _)| now.since(*at) < DIGEST_LIFE) {
             let known = latest.entry(&digest.zone).or_insert((*at, digest));
             if (known.0, &known.1.name) < (*at, &digest.name) {
@@ -172,12 +172,12 @@
     }
 
     /// A zone granted no place: its digest promised more than it has.
-    pub fn full(&mut self, now: Moment, zone: &str) {
+    pub fn full(&mut self, now: Timestamp, zone: &str) {
         self.full.insert(zone.to_owned(), now.after(FULL_REST));
     }
 
     /// Forgets those that don't count any more.
-    pub fn expire(&mut self, now: Moment) {
+    pub fn expire(&mut self, now: Timestamp) {
         self.heard.retain(|_, (at, _)| now.since(*at) < DIGEST_LIFE);
         self.full.retain(|_, until| *until > now);
     }
@@ -187,7 +187,7 @@
     /// places: the one with the most would be everybody's choice for as long as its digest counts.
     pub fn spill(
         &self,
-        now: Moment,
+        now: Timestamp,
         service: &str,
         within: Duration,
         tried: &[String],
--- a/crates/router/tests/budget.rs
+++ b/crates/router/tests/budget.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::budget::{Arrivals, Budget, Lack, Next};
 use ebonyloft_router::node::{Bounds, Excess};
 use proptest::prelude::*;
@@ -23,7 +23,7 @@
 }
 
 /// Takes one extra arrival that takes place at once.
-fn spend(budget: &mut Budget, now: Moment, entries: usize) -> bool {
+fn spend(budget: &mut Budget, now: Timestamp, entries: usize) -> bool {
     let granted = budget.hold(now, &bounds(), entries, Lack::Sure(1));
     if granted {
         budget.spend(now);
@@ -34,7 +34,7 @@
 #[test]
 fn a_process_that_just_started_spends_little() {
     // Its predecessor may have spent the whole window's part a moment ago.
-    let start = Moment::from_millis(1_000_000);
+    let start = Timestamp::from_millis(1_000_000);
     let mut budget = Budget::new(start);
     let spent =
         (0..100).filter(|_| spend(&mut budget, start.after(Duration::from_millis(50)), 1)).count();
@@ -44,9 +44,9 @@
 
 #[test]
 fn a_share_of_the_requests_can_be_spent() {
-    let start = Moment::from_millis(0);
+    let start = Timestamp::from_millis(0);
     let mut budget = Budget::new(start);
-    let now = Moment::from_millis(5_000);
+    let now = Timestamp::from_millis(5_000);
     for _ in 0..1_000 {
         budget.earn(now, &bounds());
     }
@@ -57,8 +57,8 @@
 
 #[test]
 fn what_was_spent_comes_back_after_the_window() {
-    let mut budget = Budget::new(Moment(0));
-    let now = Moment::from_millis(20_000);
+    let mut budget = Budget::new(Timestamp(0));
+    let now = Timestamp::from_millis(20_000);
     while spend(&mut budget, now, 1) {}
     assert!(!spend(&mut budget, now.after(Duration::from_secs(9)), 1));
     assert!(spend(&mut budget, now.after(Duration::from_secs(11)), 1));
@@ -107,7 +107,7 @@
 
 #[test]
 fn a_send_that_reached_nobody_is_held_again() {
-    let (now, mut budget) = (Moment::from_millis(20_000), Budget::new(Moment(0)));
+    let (now, mut budget) = (Timestamp::from_millis(20_000), Budget::new(Timestamp(0)));
     let left = budget.left(now, &bounds(), 1);
     assert!(budget.hold(now, &bounds(), 1, Lack::Sure(2)));
     budget.spend(now);
@@ -126,7 +126,7 @@
 }
 
 /// Plays one request; gives its extra arrivals as a judge counts them, and what it took from the budget.
-fn play(budget: &mut Budget, now: Moment, sends: &[(Next, Fate)]) -> (usize, usize) {
+fn play(budget: &mut Budget, now: Timestamp, sends: &[(Next, Fate)]) -> (usize, usize) {
     let before = budget.counts().1;
     let mut arrivals = Arrivals::default();
     let (mut counted, mut read) = (0_usize, false);
@@ -169,7 +169,7 @@
 /// An entry among many has less than a whole extra arrival before its first requests.
 #[test]
 fn a_first_prompt_is_sent_while_anything_is_left() {
-    let (now, mut budget) = (Moment::from_millis(20_000), Budget::new(Moment(0)));
+    let (now, mut budget) = (Timestamp::from_millis(20_000), Budget::new(Timestamp(0)));
     assert!(budget.left(now, &bounds(), 200) < 1.0);
     assert!(!budget.hold(now, &bounds(), 200, Lack::Sure(1)));
     assert!(budget.hold(now, &bounds(), 200, Lack::Unlikely));
@@ -185,8 +185,8 @@
         requests in proptest::collection::vec(
             proptest::collection::vec((0_u8..2, 0_u8..3), 1..8), 1..60),
     ) {
-        let now = Moment::from_millis(20_000);
-        let mut budget = Budget::new(Moment(0));
+        let now = Timestamp::from_millis(20_000);
+        let mut budget = Budget::new(Timestamp(0));
         for sends in requests {
             budget.earn(now, &bounds());
             let sends: Vec<(Next, Fate)> = sends
@@ -209,7 +209,7 @@
         ticks in proptest::collection::vec((0_usize..4, 0_u32..4, 0_u32..6), 1..400),
     ) {
         let bounds = bounds();
-        let start = Moment::from_millis(0);
+        let start = Timestamp::from_millis(0);
         let mut budgets = vec![Budget::new(start); 4];
         let (mut requests, mut extras) = (Vec::new(), Vec::new());
         for (i, (entry, came, wanted)) in ticks.iter().enumerate() {
--- a/crates/router/tests/delegate.rs
+++ b/crates/router/tests/delegate.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::delegate::{KEEP, Link, PER_ZONE, Role, SILENT, STEP, STEPS_MAX};
 use ebonyloft_router::fleet::{Fleet, Gateway, LAPSE};
 use ebonyloft_router::freshness::Freshness;
 use ebonyloft_router::share::{Share, Shares};
 
-const NOW: Moment = Moment::from_millis(100_000);
+const NOW: Timestamp = Timestamp::from_millis(100_000);
 const HEARD: Link = Link::Heard { settles: 0, age: 0 };
 const SILENCE: Duration = Duration::from_millis(1_200);
 
@@ -190,7 +190,7 @@
 fn who_heard_nothing_for_long_does_not_say_that_it_hears_the_store() {
     let mut fresh = Freshness::default();
     fresh.on_answer(NOW, NOW);
-    let link = |at: Moment| fresh.link(at, SILENCE);
+    let link = |at: Timestamp| fresh.link(at, SILENCE);
     assert_eq!(link(NOW.after(SILENCE)), Link::Heard { settles: 0, age: 1_200 });
     assert_eq!(link(NOW.after(SILENCE).after(Duration::from_millis(1))), Link::Away);
 }
--- a/crates/router/tests/engines.rs
+++ b/crates/router/tests/engines.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Engine, Server, ServerId, Stage};
 use ebonyloft_router::engines::{
     Advice, BAR_MAX, Engines, FULL_REST, Lack, Need, REJECT_REST, SCARCE, TIGHT, Ticket, View, bar,
@@ -16,7 +16,7 @@
 
 use self::fleet::{engine, server};
 
-const NOW: Moment = Moment::from_millis(100_000);
+const NOW: Timestamp = Timestamp::from_millis(100_000);
 
 fn spec() -> Engine {
     engine(12, 20_000)
@@ -30,7 +30,7 @@
     ServerId::new(format!("i-{i}"), 0)
 }
 
-fn after(ms: u64) -> Moment {
+fn after(ms: u64) -> Timestamp {
     NOW.after(Duration::from_millis(ms))
 }
 
@@ -40,16 +40,16 @@
     Need { memory: Profile::flat(4_000), first_by, ends_at, gives: 1.0, begun: false }
 }
 
-fn advise(engines: &Engines, at: Moment, ticket: Ticket, servers: &[Server]) -> Advice {
+fn advise(engines: &Engines, at: Timestamp, ticket: Ticket, servers: &[Server]) -> Advice {
     advise_with(engines, at, ticket, at.after(Duration::from_millis(100)), servers, Work::default())
 }
 
 /// The same with a moment at which the prompt is read, and peers' work at each engine.
 fn advise_with(
     engines: &Engines,
-    at: Moment,
+    at: Timestamp,
     ticket: Ticket,
-    read_at: Moment,
+    read_at: Timestamp,
     servers: &[Server],
     peers: Work,
 ) -> Advice {
--- a/crates/router/tests/limits.rs
+++ b/crates/router/tests/limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::ServerId;
 use ebonyloft_router::limits::{ENDS_AFTER, LIMIT_MIN, Limit, Named, ServerLimits};
 use ebonyloft_router::quota::borrower::Borrower;
@@ -14,8 +14,8 @@
 
 const FIVE: Option<Limit> = Some(Limit(5_000));
 
-fn at(ms: u64) -> Moment {
-    Moment::from_millis(1_000_000 + ms)
+fn at(ms: u64) -> Timestamp {
+    Timestamp::from_millis(1_000_000 + ms)
 }
 
 fn id() -> ServerId {
@@ -135,7 +135,7 @@
     }
     let window = Duration::from_secs(4);
     let within =
-        |from: &Moment| sent.iter().filter(|s| *s >= from && **s < from.after(window)).count();
+        |from: &Timestamp| sent.iter().filter(|s| *s >= from && **s < from.after(window)).count();
     (sent.len(), sent.iter().map(within).max().unwrap_or(0))
 }
 
--- a/crates/router/tests/line.rs
+++ b/crates/router/tests/line.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::Server;
 use ebonyloft_router::line::{Line, Ticket, Turn};
 use ebonyloft_router::outcome::{Fate, Load};
@@ -29,8 +29,8 @@
 /// Arrivals of one step at most.
 const DRAWS: u32 = 8;
 
-fn at(step: u64) -> Moment {
-    Moment::from_millis(10_000).after(STEP * step as u32)
+fn at(step: u64) -> Timestamp {
+    Timestamp::from_millis(10_000).after(STEP * step as u32)
 }
 
 #[derive(Clone, Copy)]
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy)]
 struct Call {
     entry: usize,
-    goal: Moment,
+    goal: Timestamp,
     again: bool,
     work: f64,
     misses: u32,
@@ -54,21 +54,21 @@
 
 #[derive(Default)]
 struct Backend {
-    running: Vec<(Moment, Moment, Call)>,
-    queue: VecDeque<(Moment, Call)>,
+    running: Vec<(Timestamp, Timestamp, Call)>,
+    queue: VecDeque<(Timestamp, Call)>,
 }
 
 struct World {
     plan: Plan,
     rng: ChaCha8Rng,
-    now: Moment,
+    now: Timestamp,
     servers: Vec<Server>,
     backends: Vec<Backend>,
     plain: Vec<Plain>,
     lines: Vec<Line>,
     waiting: Vec<(Ticket, Call)>,
     /// Callers who come back.
-    back: Vec<(Moment, Call)>,
+    back: Vec<(Timestamp, Call)>,
     asked: u32,
     in_time: u32,
 }
@@ -241,9 +241,9 @@
     assert!(with > without + 0.12, "{with}, without {without}");
 }
 
-const NOW: Moment = Moment::from_millis(50_000);
+const NOW: Timestamp = Timestamp::from_millis(50_000);
 
-fn after(ms: u64) -> Moment {
+fn after(ms: u64) -> Timestamp {
     NOW.after(Duration::from_millis(ms))
 }
 
--- a/crates/router/tests/load/world.rs
+++ b/crates/router/tests/load/world.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Engine, Server, ServerId, Stage};
 use ebonyloft_router::engines::{Advice, Engines, FIRST_EVENT, Need, Ticket, View};
 use ebonyloft_router::forecast::Profile;
@@ -100,14 +100,14 @@
 #[derive(Clone, Copy, PartialEq)]
 enum State {
     Waiting(Ticket),
-    Reading { engine: usize, until: Moment },
-    Writing { until: Moment },
+    Reading { engine: usize, until: Timestamp },
+    Writing { until: Timestamp },
     Over,
 }
 
 struct Request {
     entry: usize,
-    came: Moment,
+    came: Timestamp,
     prompt: u64,
     output: u64,
     writer: usize,
@@ -129,8 +129,8 @@
     spec: Engine,
     entries: Vec<Entry>,
     requests: Vec<Request>,
-    free_at: HashMap<usize, Moment>,
-    now: Moment,
+    free_at: HashMap<usize, Timestamp>,
+    now: Timestamp,
     steps: u64,
     got: Got,
 }
@@ -158,7 +158,7 @@
             entries: (0..4).map(entry).collect(),
             requests: Vec::new(),
             free_at: HashMap::new(),
-            now: Moment::from_millis(10_000),
+            now: Timestamp::from_millis(10_000),
             steps: 0,
             got: Got::default(),
         }
@@ -217,7 +217,7 @@
     }
 
     /// The reader that would be done first, and when, as this entry believes.
-    fn reader(&mut self, entry: usize, prompt: u64) -> (usize, Moment) {
+    fn reader(&mut self, entry: usize, prompt: u64) -> (usize, Timestamp) {
         let lost = self.plan.lost && self.seconds() > 5.0;
         let readers = &self.servers[usize::from(lost)..self.plan.readers];
         let e = &self.entries[entry];
--- a/crates/router/tests/losses.rs
+++ b/crates/router/tests/losses.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Server, ServerId};
 use ebonyloft_router::content::Content;
 use ebonyloft_router::drift::Drift;
 use ebonyloft_router::losses::{ASK_GAP, CALL_WAIT, Found, LOSS_LIFE, Loss, Losses, STREAM_WAIT};
 
-const NOW: Moment = Moment::from_millis(1_000_000);
+const NOW: Timestamp = Timestamp::from_millis(1_000_000);
 /// Time from a send to its loss.
 const RUN: Duration = Duration::from_millis(20);
 
@@ -24,11 +24,11 @@
     }
 }
 
-fn loss(content: u64, at: Moment) -> Loss {
+fn loss(content: u64, at: Timestamp) -> Loss {
     Loss { content: Content(content, 0), early: true, sent: at.before(RUN), at, number: content }
 }
 
-fn asked(losses: &mut Losses, now: Moment) -> Vec<String> {
+fn asked(losses: &mut Losses, now: Timestamp) -> Vec<String> {
     losses.ask(now).into_iter().map(|(id, _)| id.name).collect()
 }
 
--- a/crates/router/tests/memory.rs
+++ b/crates/router/tests/memory.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Server, ServerId, Stage};
 use ebonyloft_router::engines::{Advice, Engines, Need, View};
 use ebonyloft_router::forecast::{AHEAD, MARGIN, Profile};
@@ -125,7 +125,7 @@
     }
 
     /// One step; `counts` once what was learned has settled.
-    fn step(&mut self, now: Moment, counts: bool) {
+    fn step(&mut self, now: Timestamp, counts: bool) {
         if self.rng.random::<f64>() < self.customer.rate * STEP.as_secs_f64() {
             self.arrive(now, counts);
         }
@@ -140,7 +140,7 @@
         self.run_out(counts);
     }
 
-    fn arrive(&mut self, now: Moment, counts: bool) {
+    fn arrive(&mut self, now: Timestamp, counts: bool) {
         let Customer { prompt, output, most, .. } = self.customer;
         let prompt = around(&mut self.rng, prompt, 0.5) as u64;
         let length = around(&mut self.rng, output, 0.5).clamp(12.0, most as f64);
@@ -182,7 +182,7 @@
         self.answers.push(answer);
     }
 
-    fn end(&mut self, now: Moment, counts: bool) {
+    fn end(&mut self, now: Timestamp, counts: bool) {
         let (over, go_on): (Vec<Answer>, Vec<Answer>) =
             self.answers.drain(..).partition(|a| a.made >= a.length);
         self.answers = go_on;
@@ -218,7 +218,7 @@
     let mut sum = Got::default();
     for seed in 0..6 {
         let mut world = World::new(customer, policy, seed);
-        let mut now = Moment::from_millis(10_000);
+        let mut now = Timestamp::from_millis(10_000);
         for step in 0..6_000 {
             now = now.after(STEP);
             world.step(now, step >= 3_000);
--- a/crates/router/tests/patience.rs
+++ b/crates/router/tests/patience.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::patience::{PERIOD, Patience};
 
-const NOW: Moment = Moment::from_millis(100_000);
+const NOW: Timestamp = Timestamp::from_millis(100_000);
 const TIMEOUT: Duration = Duration::from_secs(14);
 
 fn ms(ms: u64) -> Duration {
--- a/crates/router/tests/pauses.rs
+++ b/crates/router/tests/pauses.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::ServerId;
 use ebonyloft_router::outcome::Pause;
 use ebonyloft_router::pauses::{PAUSE_MAX, PAUSE_UNREADABLE, Pauses, soonest};
 
-const NOW: Moment = Moment::from_millis(1_000_000);
+const NOW: Timestamp = Timestamp::from_millis(1_000_000);
 const SECOND: Duration = Duration::from_secs(1);
 
 fn id(name: &str) -> ServerId {
--- a/crates/router/tests/plain.rs
+++ b/crates/router/tests/plain.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Server, ServerId};
 use ebonyloft_router::outcome::{Fate, Load};
 use ebonyloft_router::plain::Plain;
@@ -36,10 +36,10 @@
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let servers = servers(behaviours.len());
     let mut plain = Plain::default();
-    let mut open: Vec<(Moment, usize, Moment, Fate)> = Vec::new();
+    let mut open: Vec<(Timestamp, usize, Timestamp, Fate)> = Vec::new();
     let mut good = 0;
     for n in 0..400_u64 {
-        let now = Moment::from_millis(1_000 + n * 50);
+        let now = Timestamp::from_millis(1_000 + n * 50);
         open.sort_by_key(|o| o.0);
         while open.first().is_some_and(|o| o.0 <= now) {
             let (end, i, sent, fate) = open.remove(0);
@@ -94,7 +94,7 @@
 fn a_server_that_mended_is_tried_again() {
     let servers = servers(2);
     let mut plain = Plain::default();
-    let start = Moment::from_millis(1_000);
+    let start = Timestamp::from_millis(1_000);
     for n in 0..20 {
         let sent = start.after(Duration::from_millis(n * 10));
         plain.sent(sent, &servers[0].id);
@@ -110,8 +110,8 @@
 fn a_full_server_costs_more_than_one_in_another_zone() {
     let servers = servers(2);
     let mut plain = Plain::default();
-    let sent = Moment::from_millis(970);
-    let now = Moment::from_millis(1_000);
+    let sent = Timestamp::from_millis(970);
+    let now = Timestamp::from_millis(1_000);
     let load = Some(Load { running: 6, waiting: 12, slots: 6 });
     plain.sent(sent, &servers[0].id);
     plain.ended(now, &servers[0].id, sent, Fate::Answered(200), load);
@@ -123,7 +123,7 @@
 fn a_tried_server_is_not_picked_again() {
     let servers = servers(2);
     let plain = Plain::default();
-    let now = Moment::from_millis(1_000);
+    let now = Timestamp::from_millis(1_000);
     let tried = vec![servers[0].id.clone()];
     let pick = plain.pick(now, "z0", servers.iter(), &tried, || 0.5).expect("one");
     assert_eq!(pick.id, servers[1].id);
--- a/crates/router/tests/prefill.rs
+++ b/crates/router/tests/prefill.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Server, ServerId, Stage};
 use ebonyloft_router::prefill::{APART, Choice, Paces, pick};
 use ebonyloft_router::reading::{FIRST_RATE, Reading};
@@ -13,7 +13,7 @@
 
 use self::fleet::server;
 
-const NOW: Moment = Moment::from_millis(100_000);
+const NOW: Timestamp = Timestamp::from_millis(100_000);
 
 /// Readers 0 to 7, two in each of four availability zones, in turn.
 fn readers() -> Vec<Server> {
--- a/crates/router/tests/pulls.rs
+++ b/crates/router/tests/pulls.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::pulls::{Part, Pulls, Versions};
 
-fn at(ms: u64) -> Moment {
-    Moment::default().after(Duration::from_millis(ms))
+fn at(ms: u64) -> Timestamp {
+    Timestamp::default().after(Duration::from_millis(ms))
 }
 
 fn peer(n: u16) -> SocketAddr {
--- a/crates/router/tests/quarantine.rs
+++ b/crates/router/tests/quarantine.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::ServerId;
 use ebonyloft_router::content::Content;
 use ebonyloft_router::quarantine::{
@@ -11,7 +11,7 @@
 };
 use proptest::prelude::*;
 
-const NOW: Moment = Moment::from_millis(1_000_000_000);
+const NOW: Timestamp = Timestamp::from_millis(1_000_000_000);
 const BAD: Content = Content(7, 7);
 
 fn word(content: Content, fact: Fact) -> Word {
--- a/crates/router/tests/quota.rs
+++ b/crates/router/tests/quota.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ebonyloft_core::config::Rate;
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::fleet::{Fleet, Gateway};
 use ebonyloft_router::node::Excess;
 use ebonyloft_router::quota::borrower::Borrower;
@@ -15,8 +15,8 @@
 
 const BOUND: Rate = Rate { rate: 1_000.0, burst: 1_000.0 };
 
-fn at(ms: u64) -> Moment {
-    Moment::from_millis(1_000_000 + ms)
+fn at(ms: u64) -> Timestamp {
+    Timestamp::from_millis(1_000_000 + ms)
 }
 
 /// A question that was not asked before.
--- a/crates/router/tests/recency.rs
+++ b/crates/router/tests/recency.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::recency::{ASK_GAP, ASK_PART, DEAF, Held, Recency};
 
 const REVOKE: Duration = Duration::from_millis(5_000);
 const BOUND: Option<Duration> = Some(REVOKE);
 
-fn at(ms: u64) -> Moment {
-    Moment::from_millis(1_000_000 + ms)
+fn at(ms: u64) -> Timestamp {
+    Timestamp::from_millis(1_000_000 + ms)
 }
 
 fn ms(n: u64) -> Duration {
--- a/crates/router/tests/returns.rs
+++ b/crates/router/tests/returns.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::engines::{RETRY_MAX, come_back};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const START: Moment = Moment::from_millis(100_000);
+const START: Timestamp = Timestamp::from_millis(100_000);
 const STEP: Duration = Duration::from_millis(10);
 /// Answers that all engines hold at once, and how long one takes on average.
 const PLACES: usize = 240;
@@ -29,8 +29,8 @@
 fn play(seed: u64, wait: impl Fn(Duration, f64) -> Duration) -> Got {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut got = Got::default();
-    let mut ends: Vec<Moment> = Vec::new();
-    let mut away: Vec<Moment> = Vec::new();
+    let mut ends: Vec<Timestamp> = Vec::new();
+    let mut away: Vec<Timestamp> = Vec::new();
     let mut now = START;
     while now < START.after(Duration::from_secs(20)) {
         now = now.after(STEP);
--- a/crates/router/tests/roster.rs
+++ b/crates/router/tests/roster.rs
@@ -1,6 +1,6 @@
 //! The list of backend servers: revisions never go back, and what a store outage hides is kept.
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Server, ServerId, Stage};
 use ebonyloft_router::freshness::{Freshness, RETURN_TIME};
 use ebonyloft_router::roster::{Change, Effect, Entry, Roster};
@@ -216,13 +216,13 @@
 #[test]
 fn the_store_is_believed_some_time_after_its_return() {
     let mut fresh = Freshness::default();
-    let start = Moment::from_millis(1_000);
+    let start = Timestamp::from_millis(1_000);
     fresh.on_answer(start, start);
     assert!(fresh.settled(start));
-    assert!(fresh.on_failure(Moment::from_millis(2_000)));
-    assert!(!fresh.on_failure(Moment::from_millis(2_100)));
-    assert!(!fresh.settled(Moment::from_millis(60_000)));
-    let back = Moment::from_millis(60_000);
+    assert!(fresh.on_failure(Timestamp::from_millis(2_000)));
+    assert!(!fresh.on_failure(Timestamp::from_millis(2_100)));
+    assert!(!fresh.settled(Timestamp::from_millis(60_000)));
+    let back = Timestamp::from_millis(60_000);
     assert!(fresh.on_answer(back, back));
     assert!(!fresh.settled(back));
     assert!(fresh.settled(back.after(RETURN_TIME)));
--- a/crates/router/tests/share.rs
+++ b/crates/router/tests/share.rs
@@ -3,14 +3,14 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::ServerId;
 use ebonyloft_router::forecast::Profile;
 use ebonyloft_router::pack;
 use ebonyloft_router::share::{SHARE_LIFE, Share, Shares, TELL, Work, compared, pause};
 use proptest::prelude::*;
 
-const NOW: Moment = Moment::from_millis(100_000);
+const NOW: Timestamp = Timestamp::from_millis(100_000);
 
 fn id() -> ServerId {
     ServerId::new("i-1", 0)
--- a/crates/router/tests/stages.rs
+++ b/crates/router/tests/stages.rs
@@ -3,13 +3,13 @@
 #[path = "support/fleet.rs"]
 mod fleet;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Server, Stage};
 use ebonyloft_router::stages::{Planner, Shape, View, WANTED_FOR, readers};
 
 use self::fleet::{engine, server};
 
-const NOW: Moment = Moment::from_millis(100_000);
+const NOW: Timestamp = Timestamp::from_millis(100_000);
 
 /// Nine engines in three availability zones, the first of which read.
 fn servers(reading: usize) -> Vec<Server> {
@@ -30,7 +30,12 @@
     shape
 }
 
-fn next(planner: &mut Planner, at: Moment, reading: usize, shape: Option<Shape>) -> Option<Stage> {
+fn next(
+    planner: &mut Planner,
+    at: Timestamp,
+    reading: usize,
+    shape: Option<Shape>,
+) -> Option<Stage> {
     let servers = servers(reading);
     let servers: Vec<&Server> = servers.iter().collect();
     let engine = engine(64, 103_424);
--- a/crates/router/tests/zones.rs
+++ b/crates/router/tests/zones.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::fleet::{Fleet, Gateway};
 use ebonyloft_router::share::{News, Share};
 use ebonyloft_router::zones::{
@@ -11,7 +11,7 @@
     scope,
 };
 
-const NOW: Moment = Moment::from_millis(100_000);
+const NOW: Timestamp = Timestamp::from_millis(100_000);
 const SOON: Duration = Duration::from_millis(500);
 
 fn digest(zone: &str, seq: u64, free: u32, read: u32) -> Digest {
@@ -48,7 +48,7 @@
     assert_eq!(digests.passed_on(now.after(DIGEST_LIFE)).count(), 0);
 }
 
-fn zone_of(digests: &Digests, now: Moment, tried: &[String], draw: f64) -> Option<String> {
+fn zone_of(digests: &Digests, now: Timestamp, tried: &[String], draw: f64) -> Option<String> {
     digests.spill(now, "llm", SOON, tried, draw).map(|d| d.zone.clone())
 }
 
