--- a/crates/router/benches/accounts.rs
+++ b/crates/router/benches/accounts.rs
@@ -1,4 +1,4 @@
-//! Times of a key's look-up and of a quota's decision.
+//! Benchmarks of the key lookup and of quota decisions.
 
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -59,7 +59,7 @@
             number += 1;
             let ask =
                 Ask { number, key: Key::account("account-7"), need: 100, more: 0, limit: None };
-            // Loans of an earlier moment are forgotten.
+            // The time moves on, so that grants of earlier iterations expire.
             let at = Timestamp::from_millis(60_000 + number / 4);
             lender.lend(at, &ask, &bound, 1.0, true)
         });
--- a/crates/router/src/accounts.rs
+++ b/crates/router/src/accounts.rs
@@ -1,122 +1,123 @@
-//! Client accounts: whose key a request carries, and what its account may ask for.
+//! Client accounts: finds the account of an API key, and the cost of a request against its quota.
 //!
-//! Keys are known by their digests only. They are compared in constant time, so that how long an answer
-//! takes tells nothing of the keys that exist.
+//! Only digests of keys are kept. They are compared in constant time, so that response times reveal nothing
+//! about existing keys.
 
 use ebonyloft_core::config::Rate;
 use ebonyloft_core::ids::{Account as Name, Digest};
 use serde::{Deserialize, Serialize};
 use subtle::ConstantTimeEq;
 
-/// Most that one request may count; beyond it the numbers that it states are not believed.
-pub const WEIGHT_MAX: u64 = 1 << 32;
+/// Highest cost of one request; a request that states a larger size is malformed.
+pub const COST_MAX: u64 = 1 << 32;
 
-/// A client account as the operator wrote it.
+/// A client account from the configuration.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Account {
-    /// Given by the operator, and told to backend servers.
+    /// Set by the operator and passed on to backend servers.
     pub name: Name,
-    /// Digests of its keys.
+    /// Digests of the account's API keys.
     pub keys: Vec<Digest>,
-    /// Goes before the route's, 0 being most urgent.
+    /// Overrides the priority of the route; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// What it may ask for over all gateways; none for as much as it likes.
+    /// Quota over all gateways; `None` means unlimited.
     pub quota: Option<Quota>,
 }
 
-/// A bound on what an account asks for.
+/// Rate limit of an account over all gateways.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Quota {
-    /// In its unit.
+    /// Rate and burst, in `unit`.
     pub bound: Rate,
-    /// What is counted.
+    /// What the quota counts.
     pub unit: Unit,
 }
 
 /// What a quota counts.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Unit {
-    /// Each request as one.
+    /// Each request costs 1.
     Requests,
-    /// Prompt and longest output; requests without either count as `plain`.
+    /// Prompt tokens plus the longest output; a request that states neither costs `plain`.
     Tokens {
-        /// For a request that states no tokens.
+        /// Cost of a request that states no token counts.
         plain: u64,
     },
 }
 
-/// The size that a request states.
+/// Size of a request as stated by its headers.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Size {
-    /// None.
+    /// No size was stated.
     #[default]
     Unstated,
-    /// Tokens of the prompt and of the longest output, together.
+    /// Tokens of the prompt plus the longest output.
     Tokens(u64),
-    /// Not two numbers, or beyond what any request has.
+    /// Not two numbers, or larger than any valid request.
     Malformed,
 }
 
-/// What a request shows of a key.
+/// API key found in a request.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Credential {
-    /// Nothing.
+    /// No key.
     #[default]
     Absent,
-    /// The digest of one key.
+    /// Digest of the one key.
     Key(Digest),
-    /// Something else, or more than one.
+    /// More than one key, or not in the form of a key.
     Malformed,
 }
 
 impl Unit {
-    /// What a request of that size counts; none when the size can't be believed.
+    /// Cost of a request of this size; `None` if the size is malformed or above `COST_MAX`.
     pub fn weigh(self, size: Size) -> Option<u64> {
         match (self, size) {
             (Unit::Requests, _) => Some(1),
             (Unit::Tokens { plain }, Size::Unstated) => Some(plain),
-            (Unit::Tokens { .. }, Size::Tokens(tokens)) => (tokens <= WEIGHT_MAX).then_some(tokens),
+            (Unit::Tokens { .. }, Size::Tokens(tokens)) => (tokens <= COST_MAX).then_some(tokens),
             (Unit::Tokens { .. }, Size::Malformed) => None,
         }
     }
 }
 
-/// All accounts of a configuration, found by key.
+/// All accounts of a configuration, indexed by key digest.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(from = "Vec<Account>", into = "Vec<Account>")]
 pub struct Accounts {
     all: Vec<Account>,
-    /// Digests in order, each with the position of its account.
+    /// Sorted key digests, each with the index of its account in `all`.
     keys: Vec<(Digest, u32)>,
 }
 
 impl Accounts {
-    /// The account that holds a key.
+    /// Finds the account of a key.
     pub fn of_key(&self, key: &Digest) -> Option<&Account> {
-        let begins = |digest: &Digest| u64::from_be_bytes(std::array::from_fn(|i| digest.0[i]));
-        let wanted = begins(key);
-        let first = self.keys.partition_point(|(digest, _)| begins(digest) < wanted);
-        let alike = self.keys[first..].iter().take_while(|(digest, _)| begins(digest) == wanted);
+        let prefix = |digest: &Digest| u64::from_be_bytes(std::array::from_fn(|i| digest.0[i]));
+        let key_prefix = prefix(key);
+        let first = self.keys.partition_point(|(digest, _)| prefix(digest) < key_prefix);
+        let candidates =
+            self.keys[first..].iter().take_while(|(digest, _)| prefix(digest) == key_prefix);
         let mut found = None;
-        for (digest, at) in alike {
+        for (digest, index) in candidates {
             if bool::from(digest.0.ct_eq(&key.0)) {
-                found = found.or(Some(*at));
+                found = found.or(Some(*index));
             }
         }
         self.all.get(found? as usize)
     }
 
-    /// The account of this name.
+    /// Finds an account by name.
     pub fn named(&self, name: &Name) -> Option<&Account> {
         self.all.iter().find(|a| a.name == *name)
     }
 
-    /// All of them, in the operator's order.
+    /// All accounts in configuration order.
     pub fn all(&self) -> &[Account] {
         &self.all
     }
 
-    /// Keys of all accounts.
+    /// Number of keys of all accounts.
     pub fn keys(&self) -> usize {
         self.keys.len()
     }
@@ -130,9 +131,9 @@
 
 impl From<Vec<Account>> for Accounts {
     fn from(all: Vec<Account>) -> Self {
-        let rows = all.iter().zip(0_u32..);
+        let indexed = all.iter().zip(0_u32..);
         let mut keys: Vec<(Digest, u32)> =
-            rows.flat_map(|(a, at)| a.keys.iter().map(move |key| (*key, at))).collect();
+            indexed.flat_map(|(a, index)| a.keys.iter().map(move |key| (*key, index))).collect();
         keys.sort();
         Accounts { all, keys }
     }
@@ -144,20 +145,20 @@
     }
 }
 
-/// Who asks.
+/// Result of identifying the caller of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Identity<'a> {
-    /// Nobody needs to say: there are no accounts, or the route is open to all.
+    /// No account is needed: none are configured, or the route is public.
     Anyone,
-    /// This account.
+    /// The caller's account.
     Account(&'a Account),
-    /// A key is needed, and none is shown or what is shown is none.
+    /// A key is needed, but it is absent or malformed.
     Unidentified,
-    /// No account of the configuration holds the key.
+    /// No configured account has the key.
     Unknown,
 }
 
-/// Who sends a request with this credential; `public` routes need none.
+/// Identifies the caller by its credential; a caller of a `public` route needs none.
 pub fn identify<'a>(
     accounts: Option<&'a Accounts>,
     public: bool,
--- a/crates/router/src/budget.rs
+++ b/crates/router/src/budget.rs
@@ -1,12 +1,13 @@
-//! Extra arrivals that one entry may cause at a service.
+//! Retry budget of one service at one gateway.
 //!
-//! The bound holds for all entries together over any window: a share of the requests, and a fixed
-//! number. An entry spends the share of its own requests and its part of the fixed number, by the
-//! count of live entries, so that the sum keeps the bound without a message.
+//! A retry is an arrival at a service beyond the first of each request. Over any window, retries of all
+//! gateways together are bounded by a ratio of the requests plus a fixed number. Each gateway uses the ratio
+//! of its own requests and, divided by the count of live gateways, its share of the fixed number, so the sum
+//! keeps the bound without messages between gateways.
 //!
-//! What a send turns out to be is known only afterwards: a prompt that an engine accepts is no extra
-//! arrival, one that is lost makes the run behind it one. So each request holds what its next send may
-//! cost (`Arrivals`), and gives back what it did not.
+//! Whether a send was a retry is known only later: a prompt that an engine accepts is none, but a lost prompt
+//! makes the run that follows it one. Each request therefore reserves what its next send may cost
+//! (`Arrivals`) and releases what it did not use.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -15,87 +16,92 @@
 
 use crate::node::Bounds;
 
-/// Part of the bound that is used. The rest covers arrivals that are under way when a window is
-/// counted, and callers that spread unevenly over the entries.
-pub const USED_PART: f64 = 0.8;
+/// Fraction of the bound that is used. The rest covers retries in flight when a window is counted, and
+/// callers that are spread unevenly over the gateways.
+pub const USED_FRACTION: f64 = 0.8;
 
-/// Part of the fixed number that a process has at its start. With its predecessor's full use, which
-/// it can't know, the sum is still the bound: 0.8 and a quarter of 0.8.
-pub const START_PART: f64 = 0.25;
+/// Fraction of the fixed number that is available at process start. The previous process may have used all of
+/// its share, which this one can't know; 0.8 plus a quarter of 0.8 still equals the bound.
+pub const START_FRACTION: f64 = 0.25;
 
-/// Window of one service at one entry.
+/// Sliding window of requests and retries of one service at one gateway.
 #[derive(Clone, Debug)]
 pub struct Budget {
-    /// When the process started; the fixed part grows to its full size within one window.
-    born_at: Timestamp,
+    /// Process start; the fixed number grows to its full size within one window.
+    started_at: Timestamp,
     requests: VecDeque<Timestamp>,
-    extras: VecDeque<Timestamp>,
-    /// Extra arrivals that requests hold and have not caused.
-    held: usize,
+    retries: VecDeque<Timestamp>,
+    /// Retries that are reserved and not committed.
+    reserved: usize,
 }
 
 impl Budget {
-    /// A window of a process that started at `born_at`.
-    pub fn new(born_at: Timestamp) -> Self {
-        Budget { born_at, requests: VecDeque::new(), extras: VecDeque::new(), held: 0 }
+    /// An empty window of a process that started at `started_at`.
+    pub fn new(started_at: Timestamp) -> Self {
+        Budget { started_at, requests: VecDeque::new(), retries: VecDeque::new(), reserved: 0 }
     }
 
-    /// A caller's request for the service came in.
+    /// Counts a caller's request for the service.
     pub fn earn(&mut self, now: Timestamp, bounds: &Bounds) {
         self.expire(now, bounds.budget_window);
         self.requests.push_back(now);
     }
 
-    /// Holds extra arrivals for a request, if there is what that asks for; `entries` is the count of live
-    /// entries.
-    pub fn hold(&mut self, now: Timestamp, bounds: &Bounds, entries: usize, lack: Lack) -> bool {
-        let left = self.left(now, bounds, entries);
-        let count = match lack {
+    /// Reserves the retries in `required` if enough are available; `gateways` is the count of live gateways.
+    pub fn hold(
+        &mut self,
+        now: Timestamp,
+        bounds: &Bounds,
+        gateways: usize,
+        required: Lack,
+    ) -> bool {
+        let left = self.left(now, bounds, gateways);
+        let count = match required {
             Lack::Sure(count) if left >= f64::from(count) => count,
             Lack::Unlikely if left > 0.0 => 1,
             Lack::Sure(_) | Lack::Unlikely => return false,
         };
-        self.held += count as usize;
+        self.reserved += count as usize;
         true
     }
 
-    /// A held one takes place.
+    /// Commits one reserved retry: it was sent.
     pub fn spend(&mut self, now: Timestamp) {
-        self.held = self.held.saturating_sub(1);
-        self.extras.push_back(now);
+        self.reserved = self.reserved.saturating_sub(1);
+        self.retries.push_back(now);
     }
 
-    /// The latest one did not take place; it is held again.
+    /// Turns the latest committed retry back into a reservation, since it did not take place.
     pub fn take_back(&mut self) {
-        if self.extras.pop_back().is_some() {
-            self.held += 1;
+        if self.retries.pop_back().is_some() {
+            self.reserved += 1;
         }
     }
 
-    /// So many are not held any more.
+    /// Releases reserved retries.
     pub fn release(&mut self, count: u32) {
-        self.held = self.held.saturating_sub(count as usize);
+        self.reserved = self.reserved.saturating_sub(count as usize);
     }
 
-    /// Extra arrivals left in the present window.
-    pub fn left(&mut self, now: Timestamp, bounds: &Bounds, entries: usize) -> f64 {
+    /// Retries still available in the current window.
+    pub fn left(&mut self, now: Timestamp, bounds: &Bounds, gateways: usize) -> f64 {
         self.expire(now, bounds.budget_window);
         let window = bounds.budget_window.as_secs_f64().max(1e-3);
-        let age = now.since(self.born_at).as_secs_f64();
-        let grown = (START_PART + age / window).min(1.0);
-        let fixed = grown * bounds.budget_extra / entries.max(1) as f64;
+        let age = now.since(self.started_at).as_secs_f64();
+        let start_fraction = (START_FRACTION + age / window).min(1.0);
+        let fixed = start_fraction * bounds.budget_extra / gateways.max(1) as f64;
         let share = bounds.budget_ratio * self.requests.len() as f64;
-        (fixed + share) * USED_PART - (self.extras.len() + self.held) as f64
+        (fixed + share) * USED_FRACTION - (self.retries.len() + self.reserved) as f64
     }
 
-    /// Requests, extra arrivals and held ones in the present window, as of the last look.
+    /// Requests, committed retries and reserved retries in the window, as of the last expiry.
     pub fn counts(&self) -> (usize, usize, usize) {
-        (self.requests.len(), self.extras.len(), self.held)
+        (self.requests.len(), self.retries.len(), self.reserved)
     }
 
     fn expire(&mut self, now: Timestamp, window: Duration) {
         let start = now.before(window);
-        for queue in [&mut self.requests, &mut self.extras] {
+        for queue in [&mut self.requests, &mut self.retries] {
             while queue.front().is_some_and(|at| *at < start) {
                 queue.pop_front();
             }
@@ -103,27 +109,27 @@
     }
 }
 
-/// What a request sends next.
+/// Kind of the next send of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Next {
-    /// Its prompt, to be read only; a run follows.
+    /// Only the prompt, for prefill; a run follows.
     Prompt,
-    /// Itself.
+    /// The request itself.
     Run,
 }
 
-/// Extra arrivals that a request must hold for its next send.
+/// Retries that a request must reserve before its next send.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Lack {
-    /// So many will take place.
+    /// This many will take place.
     Sure(u32),
-    /// One, only if the prompt is not accepted: whatever is left suffices, since an entry among many has
-    /// less than a whole one for its first requests.
+    /// One takes place only if the prompt is not accepted. Any remaining fraction is enough, since one of
+    /// many gateways has less than one whole retry available for its first requests.
     Unlikely,
 }
 
 impl Lack {
-    /// Extra arrivals that are held for it.
+    /// Number of retries to reserve.
     pub fn count(self) -> u32 {
         match self {
             Lack::Sure(count) => count,
@@ -132,15 +138,15 @@
     }
 }
 
-/// Arrivals of one request, and the extra ones that it holds or has caused.
+/// Arrivals of one request at its service, and the retries that it has reserved or committed.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Arrivals {
-    /// All but the first prompt that was accepted.
+    /// All arrivals except the first accepted prompt.
     count: u32,
-    /// Taken from the budget.
-    taken: u32,
+    /// Retries reserved in the budget, committed ones included.
+    reserved: u32,
     /// A prompt was accepted.
-    read: bool,
+    prompt_accepted: bool,
 }
 
 impl Arrivals {
@@ -149,47 +155,47 @@
         self.count
     }
 
-    /// What to hold before the next send, so that a run can follow whatever becomes of it.
+    /// Retries to reserve before the next send, so that a run can follow however the send ends.
     pub fn lacks(&self, next: Next) -> Option<Lack> {
         let needs = self.count + u32::from(next == Next::Prompt);
-        match needs.saturating_sub(self.taken) {
+        match needs.saturating_sub(self.reserved) {
             0 => None,
             1 if self.count == 0 => Some(Lack::Unlikely),
             count => Some(Lack::Sure(count)),
         }
     }
 
-    /// It was held.
-    pub fn take(&mut self, lack: Lack) {
-        self.taken += lack.count();
+    /// Records that `required` was reserved.
+    pub fn take(&mut self, required: Lack) {
+        self.reserved += required.count();
     }
 
-    /// It is sent; true when that is an extra arrival.
+    /// Records a send; true if it is a retry.
     pub fn send(&mut self) -> bool {
         self.count += 1;
         self.count > 1
     }
 
-    /// The latest send reached nobody; true when it was counted as an extra arrival.
+    /// Undoes the latest send, which reached no backend server; true if it was counted as a retry.
     pub fn unsend(&mut self) -> bool {
         self.count = self.count.saturating_sub(1);
         self.count > 0
     }
 
-    /// The latest prompt was accepted; true when it was counted as an extra arrival and is none.
+    /// Records that the latest prompt was accepted; true if it was counted as a retry and is none.
     pub fn accept(&mut self) -> bool {
-        !std::mem::replace(&mut self.read, true) && self.unsend()
+        !std::mem::replace(&mut self.prompt_accepted, true) && self.unsend()
     }
 
-    /// Gives up what a run would not need.
+    /// Drops reservations that a run does not need, and returns their number.
     pub fn spare(&mut self) -> u32 {
-        let spare = self.taken.saturating_sub(self.count);
-        self.taken -= spare;
-        spare
+        let unneeded = self.reserved.saturating_sub(self.count);
+        self.reserved -= unneeded;
+        unneeded
     }
 
-    /// The request is over; gives up what it holds.
+    /// Ends the request, and returns the number of unused reservations.
     pub fn close(self) -> u32 {
-        self.taken.saturating_sub(self.count.saturating_sub(1))
+        self.reserved.saturating_sub(self.count.saturating_sub(1))
     }
 }
--- a/crates/router/src/comeback.rs
+++ b/crates/router/src/comeback.rs
@@ -1,25 +1,25 @@
-//! When callers are asked to come back to a process that knows no configuration yet.
+//! Retry-after that a gateway without a configuration gives to callers.
 //!
-//! Answers the load of a fleet that lost all its processes while the store is away, too: it can serve
-//! nobody until the store is back, and a caller comes back once or twice only. Half a second later finds
-//! the same state; later, as far as its time allows, finds the fleet at work.
+//! When all gateways restart while the store is unavailable, none can serve until the store is back, and
+//! callers retry only once or twice. A retry half a second later would fail again, so callers are asked to
+//! wait as long as their time allows.
 
 use std::time::Duration;
 
-/// The wait while the store has not failed to answer: it does within some ten milliseconds, and one round
-/// of the platform's readiness check, by which other gateways are chosen, has passed.
+/// Retry-after while the store has not failed: it answers within some ten milliseconds, and by then one round
+/// of the platform's readiness check, which selects other gateways, has passed.
 pub const SOON: Duration = Duration::from_millis(500);
-/// Part of its time left that a caller is asked to wait at least while the store is away; callers follow
-/// a wait up to a third of it.
-const PART: f64 = 0.22;
-/// Spread of that part, so that those sent away together don't return together.
-const SPREAD: f64 = 0.10;
+/// Smallest fraction of the caller's remaining time to wait while the store is unavailable; callers follow a
+/// retry-after up to a third of that time.
+const WAIT_FRACTION: f64 = 0.22;
+/// Random spread added to that fraction, so that callers refused together don't retry together.
+const WAIT_SPREAD: f64 = 0.10;
 
-/// How long a caller with so much time left is asked to wait; `away` when the store does not answer,
-/// `draw` is uniform in 0..1.
-pub fn wait(left: Option<Duration>, away: bool, draw: f64) -> Duration {
-    match left.filter(|_| away) {
-        Some(left) => left.mul_f64(PART + SPREAD * draw).max(SOON),
+/// Retry-after for a caller with `remaining` of its deadline; `store_down` if the store does not answer. `draw` is
+/// uniform in 0..1.
+pub fn wait(remaining: Option<Duration>, store_down: bool, draw: f64) -> Duration {
+    match remaining.filter(|_| store_down) {
+        Some(remaining) => remaining.mul_f64(WAIT_FRACTION + WAIT_SPREAD * draw).max(SOON),
         None => SOON,
     }
 }
--- a/crates/router/src/content.rs
+++ b/crates/router/src/content.rs
@@ -1,28 +1,29 @@
-//! What a request asks for, told apart from how often and by whom it is sent.
+//! Digest that identifies what a request asks for, whichever caller sends it and how often.
 //!
-//! Each attempt of a caller has an id of its own; what stays the same when the same thing is asked for again
-//! is method, host, path and body. They are known by a keyed digest only: a body is never kept or logged.
+//! Each attempt of a caller has an id of its own; method, host, path and body stay the same when the request
+//! is repeated. Only their keyed digest is kept: a body is never stored or logged.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Digest of what a request asks for; ids, deadlines and other headers are not part of it.
+/// Keyed digest of method, host, path and body; ids, deadlines and other headers are left out.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct Content(pub u64, pub u64);
 
 impl Content {
-    /// Of the digest's first 16 bytes.
+    /// Takes the first 16 bytes of a digest.
     pub fn of(digest: [u8; 16]) -> Self {
-        let all = u128::from_be_bytes(digest);
-        Content((all >> 64) as u64, all as u64)
+        let value = u128::from_be_bytes(digest);
+        Content((value >> 64) as u64, value as u64)
     }
 }
 
 impl fmt::Display for Content {
-    /// The first digits: enough to find it in logs, not enough to confirm a guess of the body.
+    /// Writes the first eight digits: enough to find the request in logs, too few to confirm a guess of its
+    /// body.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:08x}", self.0 >> 32)
     }
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -1,9 +1,9 @@
-//! Whole events of a stream, split from its bytes.
+//! Splits the bytes of a stream into complete events.
 //!
-//! A backend server may stop in the middle of an event; what is passed on always ends with a whole
-//! one, so that another may go on behind it.
+//! A backend server may stop in the middle of an event. Only complete events are passed on, so that another
+//! server can continue the stream.
 
-/// Splits a stream into whole events.
+/// Splits a stream into complete events.
 #[derive(Clone, Debug, Default)]
 pub struct Splitter {
     buffer: Vec<u8>,
@@ -12,13 +12,13 @@
 }
 
 impl Splitter {
-    /// A splitter for a stream that goes on behind the event `last`.
+    /// A splitter for a stream that resumes after the event `last`.
     pub fn behind(last: Option<u64>) -> Self {
         Splitter { buffer: Vec::new(), last, count: 0 }
     }
 
-    /// Takes bytes and gives the events that they complete, as one run of bytes. Events that were
-    /// passed on before are left out.
+    /// Adds bytes and returns the events that they complete, concatenated. Events that were already passed on
+    /// are skipped.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<u8> {
         self.buffer.extend_from_slice(bytes);
         let mut out = Vec::new();
@@ -37,33 +37,33 @@
         out
     }
 
-    /// Id of the last whole event.
+    /// Id of the last complete event.
     pub fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Events passed on.
+    /// Number of events passed on.
     pub fn count(&self) -> u64 {
         self.count
     }
 
-    /// Is an event begun and not whole?
+    /// Whether the buffer holds an incomplete event.
     pub fn is_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// The bytes of an event that is not whole.
+    /// Bytes of the incomplete event.
     pub fn rest(&self) -> &[u8] {
         &self.buffer
     }
 
-    /// Drops a part of an event; another stream goes on with it whole.
+    /// Drops the incomplete event; the next stream sends it again from its start.
     pub fn restart(&mut self) {
         self.buffer.clear();
     }
 }
 
-/// Length of the first event with its blank line.
+/// Length of the first event including its blank line, if it is complete.
 fn event_len(bytes: &[u8]) -> Option<usize> {
     let mut i = 0;
     while let Some(at) = bytes[i..].iter().position(|b| *b == b'\n') {
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -1,8 +1,9 @@
-//! Limits that backend servers name in their answers: requests a second that one takes from all gateways.
+//! Rate limits that backend servers state in their responses: requests per second that one accepts from all
+//! gateways.
 //!
-//! A server in need names its limit for as long as it holds. Who hears it tells all gateways, and the limit is
-//! lent out like any other shared bound (`quota`). Each change of what is known of a server has a number that
-//! only grows, so late words change nothing.
+//! An overloaded server states its limit for as long as it holds. The gateway that receives it publishes it
+//! to all gateways, and the limit is leased out like any other shared rate limit (`quota`). Each change at a
+//! server has an increasing version, so outdated updates have no effect.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,63 +16,63 @@
 use crate::drift::mix;
 use crate::node::Excess;
 
-/// Thousandths of a request a second.
+/// Thousandths of a request per second.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(transparent)]
 pub struct Limit(pub u32);
 
-/// Least limit that is acted on: a server that takes nothing is asked now and then, or nobody would hear that
-/// it takes something again.
+/// Lowest limit that is applied: a server that accepts nothing is still sent a request now and then, since no
+/// gateway would otherwise see that it accepts requests again.
 pub const LIMIT_MIN: Limit = Limit(100);
-/// Time behind the last answer that named the limit after which an answer that names none ends it: answers
-/// overtake each other.
-pub const ENDS_AFTER: Duration = Duration::from_millis(500);
-/// Requests that may come at once, as a time at the limit.
-const BURST: Duration = Duration::from_millis(500);
-/// Least burst: a reservation and the run that uses it.
+/// An answer that states no limit ends the limit only if its request was sent this long after the last answer
+/// that stated one, because answers overtake each other.
+pub const LIMIT_END_DELAY: Duration = Duration::from_millis(500);
+/// Burst, as time at the limit.
+const BURST_TIME: Duration = Duration::from_millis(500);
+/// Smallest burst: a reservation and the run that uses it.
 const BURST_MIN: f64 = 2.0;
-/// What a server bears beyond its limit for a while, where the home of its limit may be lost.
+/// Load above its limit that a server tolerates for a short time, while the owner of the limit may be lost.
 pub const EXCESS: Excess = Excess { part: 0.5, fixed: 0.0, window: Duration::from_secs(4) };
 
 impl Limit {
-    /// The limit as a shared bound.
+    /// The limit as a shared rate limit.
     pub fn rate(self) -> Rate {
         let rate = f64::from(self.max(LIMIT_MIN).0) / 1_000.0;
-        Rate { rate, burst: (rate * BURST.as_secs_f64()).max(BURST_MIN) }
+        Rate { rate, burst: (rate * BURST_TIME.as_secs_f64()).max(BURST_MIN) }
     }
 }
 
-/// What is known of one server's limit, for other gateways.
+/// Update about the limit of one server, sent to other gateways.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Named {
-    /// The server, in this life.
+    /// The incarnation of the server.
     #[serde(rename = "s")]
     pub server: ServerId,
-    /// Number of the change.
+    /// Version of the change.
     #[serde(rename = "v")]
     pub version: u64,
-    /// The limit; none when it ended.
+    /// The limit; `None` once it ended.
     #[serde(rename = "l")]
     pub limit: Option<Limit>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct LimitState {
     version: u64,
     limit: Option<Limit>,
-    /// When an answer or a peer said so last.
-    said_at: Timestamp,
+    /// Time of the last answer or peer update with this limit.
+    seen_at: Timestamp,
 }
 
-/// The limits of all servers that named one.
+/// Limits of all servers that stated one.
 #[derive(Clone, Debug, Default)]
 pub struct ServerLimits {
-    known: BTreeMap<ServerId, Known>,
+    states: BTreeMap<ServerId, LimitState>,
 }
 
 impl ServerLimits {
-    /// An answer to a request sent at `sent` names this limit, or none; gives what all should hear if that is
-    /// news.
+    /// Records that an answer to a request sent at `sent` stated this limit, or none. Returns the update for
+    /// the other gateways if the limit changed.
     pub fn answered(
         &mut self,
         now: Timestamp,
@@ -79,65 +80,66 @@
         sent: Timestamp,
         limit: Option<Limit>,
     ) -> Option<Named> {
-        let Some(known) = self.known.get_mut(id) else {
+        let Some(state) = self.states.get_mut(id) else {
             limit?;
             return Some(self.change(now, id, 1, limit));
         };
-        if known.limit == limit {
-            known.said_at = now;
+        if state.limit == limit {
+            state.seen_at = now;
             return None;
         }
-        // What was sent before this was known may have been answered before it held.
-        let settled = match limit {
-            Some(_) => known.said_at,
-            None => known.said_at.after(ENDS_AFTER),
+        // A request sent before then may have been answered before the known limit applied.
+        let effective_from = match limit {
+            Some(_) => state.seen_at,
+            None => state.seen_at.after(LIMIT_END_DELAY),
         };
-        if sent < settled {
+        if sent < effective_from {
             return None;
         }
-        let version = known.version + 1;
+        let version = state.version + 1;
         Some(self.change(now, id, version, limit))
     }
 
-    /// A peer's word; true when it is news. Of two words under one number the stricter one counts.
-    pub fn hear(&mut self, now: Timestamp, word: &Named) -> bool {
+    /// Applies a peer's update; true if it changed anything. Of two updates with the same version the
+    /// stricter one wins.
+    pub fn hear(&mut self, now: Timestamp, update: &Named) -> bool {
         let strictness = |limit: Option<Limit>| limit.map_or(0, |l| u64::from(u32::MAX - l.0) + 1);
         let rank = |version, limit| (version, strictness(limit));
-        let known = self.known.get(&word.server);
-        if known.is_some_and(|k| rank(k.version, k.limit) >= rank(word.version, word.limit)) {
+        let state = self.states.get(&update.server);
+        if state.is_some_and(|k| rank(k.version, k.limit) >= rank(update.version, update.limit)) {
             return false;
         }
-        self.change(now, &word.server, word.version, word.limit);
+        self.change(now, &update.server, update.version, update.limit);
         true
     }
 
-    /// The limit of a server, if it has one.
+    /// Current limit of a server.
     pub fn of(&self, id: &ServerId) -> Option<Limit> {
-        self.known.get(id)?.limit
+        self.states.get(id)?.limit
     }
 
-    /// All that is known, for other gateways.
+    /// Updates with the limits of all servers, for other gateways.
     pub fn table(&self) -> Vec<Named> {
-        let named = |(id, k): (&ServerId, &Known)| Named {
+        let to_update = |(id, k): (&ServerId, &LimitState)| Named {
             server: id.clone(),
             version: k.version,
             limit: k.limit,
         };
-        self.known.iter().map(named).collect()
+        self.states.iter().map(to_update).collect()
     }
 
-    /// A sum over all that is known, zero when nothing is.
+    /// Checksum over all limits and versions, zero if there are none.
     pub fn sum(&self) -> u64 {
-        let number = |(id, k): (&ServerId, &Known)| {
+        let row_hash = |(id, k): (&ServerId, &LimitState)| {
             let limit = k.limit.map_or(0, |l| u64::from(l.0) + 1);
             mix(id.number() ^ mix(k.version ^ limit << 32))
         };
-        self.known.iter().map(number).fold(0, |sum, n| sum ^ n)
+        self.states.iter().map(row_hash).fold(0, |sum, n| sum ^ n)
     }
 
-    /// Forgets servers that are gone.
+    /// Drops servers that are not `alive`.
     pub fn retain(&mut self, alive: impl Fn(&ServerId) -> bool) {
-        self.known.retain(|id, _| alive(id));
+        self.states.retain(|id, _| alive(id));
     }
 
     fn change(
@@ -147,7 +149,7 @@
         version: u64,
         limit: Option<Limit>,
     ) -> Named {
-        self.known.insert(id.clone(), Known { version, limit, said_at: now });
+        self.states.insert(id.clone(), LimitState { version, limit, seen_at: now });
         Named { server: id.clone(), version, limit }
     }
 }
--- a/crates/router/src/line.rs
+++ b/crates/router/src/line.rs
@@ -1,12 +1,11 @@
-//! How many calls of a plain service are under way at once, and who waits for one to end.
+//! Admission queue for the calls of one plain service at one gateway, with an adaptive concurrency limit.
 //!
-//! Answers the load of bursts beyond what a service's slots carry. Its backend servers queue four times
-//! as many calls as they work on, so that each call there takes as long as the goal allows and nobody
-//! is in time, though the service is busy with nothing but calls. Each entry keeps as many under way as
-//! leave the queues short: one more for each round of calls that met short ones, a tenth less when one
-//! met a long one. All entries see the same queues, so their shares add up to what the slots carry
-//! without a message. The others wait here, the earliest goal first, or hear at once that they can't be
-//! in time.
+//! In bursts beyond the capacity of a service, its backend servers queue four times as many calls as they
+//! have slots, so every call takes longer than its latency goal although the servers are fully used. Each
+//! gateway therefore limits its calls in flight so that the queues stay short: the limit grows by one per
+//! round of calls that met short queues, and shrinks by a tenth when a call met a long one. All gateways
+//! observe the same queues, so their limits add up to the capacity without messages. Other calls wait here,
+//! earliest goal first, or are refused at once if they can't be in time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,175 +13,175 @@
 use ebonyloft_core::time::Timestamp;
 
 use crate::outcome::{Fate, Load};
-use crate::plain::{START_MS, STUCK};
-
-/// Calls under way that an entry begins with; a calm entry has one or two, and a round of calls adds
-/// one where that is not enough.
-pub const FIRST: f64 = 4.0;
-/// Fewest; an entry always finds out how the service fares.
-const LEAST: f64 = 1.0;
-/// Most, a guard only.
-const MOST: f64 = 512.0;
-/// Queue by slots from which on it is long: a call behind it takes half as long again.
-pub const LONG: f64 = 0.5;
-/// Part that is left of the calls under way after one met a long queue.
-const LESS: f64 = 0.9;
-/// The same after one was turned away.
-const MUCH_LESS: f64 = 0.7;
-/// Weight of a new call's time: about the last ten count.
+use crate::plain::{INITIAL_MS, STUCK_AFTER};
+
+/// Initial concurrency limit. A gateway under normal load has one or two calls in flight, and the limit grows
+/// by one per round of calls where that is not enough.
+pub const INITIAL_LIMIT: f64 = 4.0;
+/// Smallest limit; a gateway must always be able to observe the service.
+const LIMIT_MIN: f64 = 1.0;
+/// Largest limit, a safeguard only.
+const LIMIT_MAX: f64 = 512.0;
+/// Queue length per slot above which a queue is long: a call behind it takes half as long again.
+pub const LONG_QUEUE: f64 = 0.5;
+/// Factor of the limit after a call met a long queue.
+const LONG_QUEUE_FACTOR: f64 = 0.9;
+/// Factor of the limit after a call was rejected.
+const REJECTED_FACTOR: f64 = 0.7;
+/// Weight of a new call duration in the average: about the last ten calls count.
 const NEW_WEIGHT: f64 = 0.1;
-/// Longest wait as a part of the goal: a call behind it is still in time. With 0.15 of 100 commits 13.7
-/// were refused at twice what the slots carry, with this 11.5.
-pub const WAIT_PART: f64 = 0.5;
+/// Longest wait as a fraction of the goal, so that the call can still be in time. Of 100 commits at twice the
+/// capacity, 13.7 were refused with 0.15 and 11.5 with this value.
+pub const WAIT_FRACTION: f64 = 0.5;
 
-/// Names a waiting call.
+/// Identifies a waiting call.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Ticket(u64);
 
-/// What to do with a call.
+/// Admission decision for a waiting call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Turn {
     /// Send it now.
     Go,
-    /// Wait for a call to end, at most until this moment.
+    /// Wait for another call to end, at most until this time.
     Wait(Timestamp),
-    /// It can't be in time.
+    /// Refuse: the call can't be in time.
     Refuse,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Waiter {
-    /// When its answer is in time.
+    /// Latest time of an answer that is in time.
     goal: Timestamp,
-    /// When it is refused.
-    until: Timestamp,
+    /// Time at which the call is refused.
+    refuse_at: Timestamp,
 }
 
-/// Calls of one service at this entry.
+/// Calls of one service at this gateway.
 #[derive(Clone, Debug)]
 pub struct Line {
-    window: f64,
-    open: Vec<Timestamp>,
+    limit: f64,
+    in_flight: Vec<Timestamp>,
     waiting: BTreeMap<Ticket, Waiter>,
-    next: u64,
-    /// Usual time of a call in seconds.
-    took: f64,
-    /// Calls sent before this moment have been judged by an earlier cut.
-    cut_at: Timestamp,
+    last_ticket: u64,
+    /// Average duration of a call in seconds.
+    mean_secs: f64,
+    /// Calls sent before this time were covered by an earlier decrease of the limit.
+    decreased_at: Timestamp,
 }
 
 impl Default for Line {
     fn default() -> Self {
         Line {
-            window: FIRST,
-            open: Vec::new(),
+            limit: INITIAL_LIMIT,
+            in_flight: Vec::new(),
             waiting: BTreeMap::new(),
-            next: 0,
-            took: START_MS / 1e3,
-            cut_at: Timestamp::default(),
+            last_ticket: 0,
+            mean_secs: INITIAL_MS / 1e3,
+            decreased_at: Timestamp::default(),
         }
     }
 }
 
 impl Line {
-    /// A call comes; it is in time until `goal`, which is `length` after its caller began.
+    /// Adds a call. It is in time until `goal`, which is `length` after its caller started.
     pub fn join(&mut self, now: Timestamp, goal: Timestamp, length: Duration) -> Ticket {
-        self.next += 1;
-        let ticket = Ticket(self.next);
-        let until = now.after(length.mul_f64(WAIT_PART));
-        self.waiting.insert(ticket, Waiter { goal, until });
+        self.last_ticket += 1;
+        let ticket = Ticket(self.last_ticket);
+        let refuse_at = now.after(length.mul_f64(WAIT_FRACTION));
+        self.waiting.insert(ticket, Waiter { goal, refuse_at });
         ticket
     }
 
-    /// A call was sent, refused, or its caller is gone.
+    /// Removes a call that was sent, refused or abandoned by its caller.
     pub fn leave(&mut self, ticket: Ticket) {
         self.waiting.remove(&ticket);
     }
 
-    /// What a waiting call should do now.
+    /// Decides what a waiting call does now.
     pub fn turn(&self, now: Timestamp, ticket: Ticket) -> Turn {
         let Some(waiter) = self.waiting.get(&ticket) else {
             return Turn::Refuse;
         };
         let rank = |t: Ticket, w: &Waiter| (w.goal, t);
-        let mine = rank(ticket, waiter);
-        let ahead = self.waiting.iter().filter(|(t, w)| rank(**t, w) < mine).count() as f64;
-        let missing = ahead + 1.0 - self.free(now);
-        if missing <= 0.0 {
+        let own_rank = rank(ticket, waiter);
+        let ahead = self.waiting.iter().filter(|(t, w)| rank(**t, w) < own_rank).count() as f64;
+        let shortfall = ahead + 1.0 - self.free_slots(now);
+        if shortfall <= 0.0 {
             return Turn::Go;
         }
-        // A round of calls ends in the usual time.
-        let begins = now.after(Duration::from_secs_f64(missing * self.took / self.window));
-        if now >= waiter.until || begins > waiter.until {
+        // One round of calls ends within the average duration.
+        let starts_at = now.after(Duration::from_secs_f64(shortfall * self.mean_secs / self.limit));
+        if now >= waiter.refuse_at || starts_at > waiter.refuse_at {
             return Turn::Refuse;
         }
-        Turn::Wait(waiter.until)
+        Turn::Wait(waiter.refuse_at)
     }
 
-    /// Is there room for one more now, with nobody waiting for it?
+    /// Whether one more call can be sent now and no other one waits.
     pub fn has_room(&self, now: Timestamp) -> bool {
-        self.free(now) >= 1.0 && self.waiting.is_empty()
+        self.free_slots(now) >= 1.0 && self.waiting.is_empty()
     }
 
-    /// A call was sent.
+    /// Records that a call was sent.
     pub fn sent(&mut self, now: Timestamp) {
-        self.open.push(now);
+        self.in_flight.push(now);
     }
 
-    /// A call ended that was sent at `sent`.
+    /// Records the end of a call that was sent at `sent`, and adapts the limit.
     pub fn ended(&mut self, now: Timestamp, sent: Timestamp, fate: Fate, load: Option<Load>) {
-        let full = self.free(now) < 1.0;
+        let full = self.free_slots(now) < 1.0;
         self.dropped(sent);
         if let Fate::Answered(_) = fate {
             let took = now.since(sent).as_secs_f64();
-            self.took += NEW_WEIGHT * (took.min(STUCK.as_secs_f64()) - self.took);
+            self.mean_secs += NEW_WEIGHT * (took.min(STUCK_AFTER.as_secs_f64()) - self.mean_secs);
         }
         let queue = load.map_or(0.0, |l| f64::from(l.waiting) / f64::from(l.slots.max(1)));
         match fate {
-            Fate::Rejected => self.cut(now, sent, MUCH_LESS),
-            _ if queue > LONG => self.cut(now, sent, LESS),
-            // A backend server with free slots says that there is room for one more at once.
+            Fate::Rejected => self.decrease(now, sent, REJECTED_FACTOR),
+            _ if queue > LONG_QUEUE => self.decrease(now, sent, LONG_QUEUE_FACTOR),
+            // A backend server with free slots can take one more call at once.
             Fate::Answered(_) if load.is_some_and(|l| l.running < l.slots) && full => {
-                self.grow(1.0)
+                self.increase(1.0)
             }
-            Fate::Answered(_) if full => self.grow(1.0 / self.window),
+            Fate::Answered(_) if full => self.increase(1.0 / self.limit),
             _ => {}
         }
     }
 
-    /// A call was given up; nothing is learnt from it.
+    /// Records that a call was abandoned; the limit stays as it is.
     pub fn dropped(&mut self, sent: Timestamp) {
-        if let Some(i) = self.open.iter().position(|at| *at == sent) {
-            self.open.swap_remove(i);
+        if let Some(i) = self.in_flight.iter().position(|at| *at == sent) {
+            self.in_flight.swap_remove(i);
         }
     }
 
-    /// Calls that may be under way at once.
+    /// Current concurrency limit.
     pub fn window(&self) -> f64 {
-        self.window
+        self.limit
     }
 
-    /// Calls that wait.
+    /// Number of waiting calls.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    fn grow(&mut self, more: f64) {
-        self.window = (self.window + more).min(MOST);
+    fn increase(&mut self, step: f64) {
+        self.limit = (self.limit + step).min(LIMIT_MAX);
     }
 
-    /// One cut for all calls that were under way together.
-    fn cut(&mut self, now: Timestamp, sent: Timestamp, part: f64) {
-        if sent >= self.cut_at {
-            self.window = (self.window * part).max(LEAST);
-            self.cut_at = now;
+    /// Decreases the limit once for all calls that were in flight together.
+    fn decrease(&mut self, now: Timestamp, sent: Timestamp, factor: f64) {
+        if sent >= self.decreased_at {
+            self.limit = (self.limit * factor).max(LIMIT_MIN);
+            self.decreased_at = now;
         }
     }
 
-    /// Calls that may still be sent. Stuck ones don't count: they say something of one backend server,
-    /// and would hold up the others.
-    fn free(&self, now: Timestamp) -> f64 {
-        let open = self.open.iter().filter(|at| now.since(**at) < STUCK).count();
-        self.window - open as f64
+    /// Calls that may still be sent. Stuck calls don't count: they are a fault of one backend server, and
+    /// must not block calls to the others.
+    fn free_slots(&self, now: Timestamp) -> f64 {
+        let in_flight = self.in_flight.iter().filter(|at| now.since(**at) < STUCK_AFTER).count();
+        self.limit - in_flight as f64
     }
 }
--- a/crates/router/src/node.rs
+++ b/crates/router/src/node.rs
@@ -1,26 +1,26 @@
-//! What a process is told of itself and of the bounds it must keep.
+//! Settings of one process: its VM, and the bounds that the deployment must keep.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-/// Settings that the platform gives to one process.
+/// Settings that the platform gives to a process.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Node {
-    /// Name of the VM, unique in the system.
+    /// Name of the VM, unique in the deployment.
     pub name: String,
     /// Availability zone.
     pub zone: String,
     /// Address of the VM.
     pub ip: IpAddr,
-    /// Thousandths of a core that the VM has.
+    /// CPU capacity of the VM in thousandths of a core.
     pub power: u32,
-    /// Megabits a second that its link carries; zero where that is not known.
+    /// Link bandwidth of the VM in megabits per second; zero if unknown.
     pub link: u32,
-    /// Where callers connect; none on a VM that serves none.
+    /// Address for callers; `None` on a VM that serves no callers.
     pub callers: Option<SocketAddr>,
-    /// Where the platform asks for readiness.
+    /// Address of the platform's readiness check.
     pub ready: Option<SocketAddr>,
-    /// First port for messages between processes of the system; the same on every VM.
+    /// First port for messages between the processes of the deployment; the same on every VM.
     pub peer_port: u16,
     /// The platform's metadata store.
     pub store: SocketAddr,
@@ -28,54 +28,55 @@
     pub bounds: Bounds,
 }
 
-/// Time from the moment at which a zone's delegates notice that they hear nothing until all have heard from
-/// another gateway: 0.2 s until that is told, 0.25 until another one begins to follow the store, 0.15 until
-/// it has read the list, 0.2 until it tells, 0.1 until that is fetched.
-const RELAY: Duration = Duration::from_millis(900);
+/// Time from when the leaders of a zone notice that they receive nothing until all of its gateways have a
+/// report from another gateway: 0.2 s to publish that, 0.25 s until another gateway starts to follow the
+/// store, 0.15 s to read the list, 0.2 s to publish it, 0.1 s to fetch it.
+const RELAY_TIME: Duration = Duration::from_millis(900);
 
-/// Bounds that the deployment asks to be kept.
+/// Bounds that the deployment must keep.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// Extra arrivals allowed per request within a window.
+    /// Retries allowed per request within a window.
     pub budget_ratio: f64,
-    /// Extra arrivals allowed in any window, over the whole system.
+    /// Retries allowed in any window beside that ratio, over the whole deployment.
     pub budget_extra: f64,
-    /// Length of that window.
+    /// Length of the retry window.
     pub budget_window: Duration,
-    /// From SIGTERM to SIGKILL.
+    /// Time between SIGTERM and SIGKILL.
     pub grace: Duration,
-    /// Shortest time between orders of two holders to one backend server.
+    /// Shortest time between orders from two different leaders to one backend server.
     pub order_gap: Duration,
-    /// Time after a fault on its way to the store by which a VM is expected to follow it again.
+    /// Time after the path to the store failed within which a VM must follow the store again.
     pub contact: Duration,
-    /// Time after a backend server said that it leaves by which it must be sent nothing more.
+    /// Time after a backend server announced that it leaves within which gateways must stop sending to it.
     pub drain: Duration,
-    /// Time after the operator changed the configuration by which it must be in force.
+    /// Time after a change of the configuration within which it must be in force.
     pub apply: Duration,
-    /// Time after a key was taken away by which no request with it may run; none where VMs out of touch are
-    /// excused.
+    /// Time after a key was revoked from which on no request with it may run; `None` if VMs that are cut off
+    /// are exempt.
     pub revoke: Option<Duration>,
-    /// How far a client account's quota may be passed.
+    /// How far the quota of a client account may be exceeded.
     pub excess: Excess,
 }
 
-/// What is tolerated beyond a quota in any window, over the whole system.
+/// Tolerated excess over a quota in any window, over the whole deployment.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Excess {
-    /// Part of what the quota allows in the window.
+    /// Fraction of what the quota allows in the window.
     pub part: f64,
-    /// In the quota's unit, beside that.
+    /// Fixed amount beside that, in the unit of the quota.
     pub fixed: f64,
     /// Length of the window.
     pub window: Duration,
 }
 
 impl Bounds {
-    /// Longest time for which a belief may stand without being heard to hold: beyond it silence no longer
-    /// counts as "nothing new". What is left of the shortest time in which any news must be acted on.
+    /// Longest time for which state may be used without a confirmation. Beyond it, silence no longer means
+    /// "no change". It is the shortest time in which a change must take effect, less the time for relaying
+    /// it.
     pub fn silence(&self) -> Duration {
         let shortest = self.contact.min(self.drain).min(self.apply);
-        shortest.saturating_sub(RELAY).max(shortest / 2)
+        shortest.saturating_sub(RELAY_TIME).max(shortest / 2)
     }
 }
 
--- a/crates/router/src/outcome.rs
+++ b/crates/router/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What became of one send to a backend server, and what may follow from it.
+//! Outcome of one attempt at a backend server, and whether another attempt may follow.
 
 use std::time::Duration;
 
@@ -6,70 +6,70 @@
 
 use crate::limits::Limit;
 
-/// Load that a backend server tells with an answer.
+/// Load that a backend server reports with an answer.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Load {
-    /// Requests being processed.
+    /// Requests in progress.
     pub running: u32,
-    /// Requests waiting.
+    /// Requests in its queue.
     pub waiting: u32,
-    /// Requests that it processes at once.
+    /// Requests that it processes at the same time.
     pub slots: u32,
 }
 
-/// The head of a backend server's answer.
+/// Head of a backend server's answer.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Reply {
     /// HTTP status.
     pub status: u16,
-    /// The attempt that it answers.
+    /// Id of the attempt that it answers.
     pub attempt: Option<String>,
-    /// It carries the backend server's signature.
+    /// It has the backend server's signature.
     pub stamped: bool,
-    /// The backend server says that it did not run the request.
+    /// The backend server states that it did not run the request.
     pub not_run: bool,
-    /// Another life of a backend server has the address.
+    /// Another incarnation of a backend server has the address.
     pub moved: bool,
-    /// Load, if told.
+    /// Load, if reported.
     pub load: Option<Load>,
-    /// The body has an encoding that nobody asked for.
+    /// The body has a content encoding that was not requested.
     pub encoded: bool,
-    /// Name of the life that answered, if it says so.
+    /// Name of the incarnation that answered, if stated.
     pub instance: Option<String>,
-    /// The backend server says that it leaves.
+    /// The backend server announces that it leaves.
     pub leaving: bool,
-    /// The backend server wants nothing from this process for a while.
+    /// The backend server asks this gateway to back off.
     pub pause: Option<Pause>,
-    /// Requests that the backend server takes from all gateways.
+    /// Rate limit that the backend server states for all gateways.
     pub limit: Option<Limit>,
 }
 
-/// For how long a backend server wants nothing from the process that it answered.
+/// How long a backend server asks the gateway to back off.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Pause {
-    /// From the answer on.
+    /// For this time from the answer on.
     For(Duration),
-    /// It said something that is no time.
+    /// The stated time could not be parsed.
     Unreadable,
 }
 
-/// How one send ended.
+/// How one attempt ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fate {
     /// No byte of it reached a backend server.
     Unsent,
-    /// The backend server says that it did not run it.
+    /// The backend server states that it did not run the request.
     Rejected,
-    /// Another life of a backend server has the address; nothing ran.
+    /// Another incarnation of a backend server has the address; the request did not run.
     Moved,
-    /// Answered whole, with this status.
+    /// Answered completely, with this status.
     Answered(u16),
-    /// Sent, and no whole answer came: it may have run.
+    /// Sent without a complete answer: it may have run.
     Lost,
 }
 
 impl Fate {
-    /// Whether the request may have run in this send.
+    /// Whether the request may have run in this attempt.
     pub fn verdict(self) -> Verdict {
         match self {
             Fate::Unsent | Fate::Rejected | Fate::Moved => Verdict::NotRun,
@@ -77,10 +77,10 @@
         }
     }
 
-    /// The fate that an answer's head tells, for the attempt that was sent.
+    /// Outcome according to the head of an answer to the given attempt.
     pub fn of(reply: &Reply, attempt: Option<&str>) -> Fate {
         if reply.attempt.is_some() && reply.attempt.as_deref() != attempt {
-            // A surplus answer to an earlier request: it tells nothing of this one.
+            // A stray answer to an earlier attempt says nothing about this one.
             return Fate::Lost;
         }
         match reply {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// The backend server failed: it did not answer, or with a failure of its own.
+    /// Whether the backend server failed: no answer, or a 5xx status.
     pub fn failed(self) -> bool {
         match self {
             Fate::Answered(status) => status >= 500,
@@ -102,37 +102,37 @@
     }
 }
 
-/// What a request has been through, over all its sends.
+/// State of a request over all its attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct Progress {
     /// It may run more than once.
     pub repeatable: bool,
     /// Backend servers on which it may have run.
     pub runs: u32,
-    /// Most backend servers on which it may run.
+    /// Highest number of backend servers on which it may run.
     pub runs_max: u32,
-    /// Sends that were rejected or never left.
+    /// Attempts that were rejected or not sent.
     pub misses: u32,
-    /// A send is under way, of which nothing is known yet.
+    /// An attempt is in flight.
     pub open: bool,
 }
 
-/// Sends that may be rejected or fail to leave before the request is refused: each rejection counts
-/// against the budget of extra arrivals, and a third server full in a row says that all are.
-pub const MISSES_MAX: u32 = 3;
+/// Attempts that may be rejected or stay unsent before the request is refused. Each rejection costs retry
+/// budget, and after three full servers in a row the others are assumed to be full too.
+pub const REJECTIONS_MAX: u32 = 3;
 
 impl Progress {
-    /// A request that was not sent yet.
+    /// State of a request that was not sent yet.
     pub fn new(repeatable: bool, runs_max: u32) -> Self {
         Progress { repeatable, runs: 0, runs_max, misses: 0, open: false }
     }
 
-    /// A send begins; until it is noted, the request may be running.
+    /// Starts an attempt; until its outcome is recorded the request may be running.
     pub fn begin(&mut self) {
         self.open = true;
     }
 
-    /// Notes how a send ended.
+    /// Records the outcome of the attempt.
     pub fn note(&mut self, fate: Fate) {
         self.open = false;
         match fate.verdict() {
@@ -141,13 +141,13 @@
         }
     }
 
-    /// May it be sent to another backend server?
+    /// Whether it may be sent to another backend server.
     pub fn may_send(&self) -> bool {
         let runs = if self.repeatable { self.runs_max } else { 1 };
-        self.runs < runs && self.misses < MISSES_MAX
+        self.runs < runs && self.misses < REJECTIONS_MAX
     }
 
-    /// Whether it may have run anywhere.
+    /// Whether it may have run in any attempt.
     pub fn verdict(&self) -> Verdict {
         match (self.runs, self.open) {
             (0, false) => Verdict::NotRun,
--- a/crates/router/src/patience.rs
+++ b/crates/router/src/patience.rs
@@ -1,39 +1,40 @@
-//! How much of its time a caller has spent before, judged by the deadline that it sends.
+//! Estimates from the deadline of a request how much time its caller has spent in earlier attempts.
 //!
-//! Answers the load of callers who come back after a refusal. They are late whatever is done, and must
-//! not be placed before those who can be in time. Deadlines alone don't tell them apart: on the
-//! users' larger days first attempts came with 11.9 to 14 s on one route. Compared with the route's
-//! timeout, 82 of 138 requests of a day's first three seconds were taken for late ones.
+//! Callers that retry after a refusal are late in any case, and must not be admitted before callers that can
+//! be answered in time. Deadlines alone don't tell them apart: on days of high load, first attempts on one
+//! route came with 11.9 to 14 s left. When deadlines were compared with the route's timeout, 82 of 138
+//! requests in the first three seconds of a day were taken for late ones, so they are compared with the
+//! longest recent deadline.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use ebonyloft_core::time::Timestamp;
 
-/// How long the longest deadline that was seen counts, at most twice; many callers come within it,
-/// and a changed habit shows within it.
-pub const PERIOD: Duration = Duration::from_secs(10);
+/// Period for which the longest observed deadline counts, at most twice: long enough to see many callers, and
+/// short enough to follow a change of their deadlines.
+pub const HISTORY_PERIOD: Duration = Duration::from_secs(10);
 
-/// Least time that a refused caller stayed away, with a margin for the ways: a quarter of the time that the
-/// users' callers wait, and more than their first deadlines differ by.
-pub const AWAY: Duration = Duration::from_millis(3_200);
+/// Shortest time that a refused caller waits before its retry, with a margin for network delay: a quarter of
+/// the time that callers wait for an answer, and more than the deadlines of first attempts differ by.
+pub const RETRY_WAIT_MIN: Duration = Duration::from_millis(3_200);
 
 #[derive(Clone, Copy, Debug)]
-struct Longest {
+struct LongestDeadline {
     since: Timestamp,
-    before: Duration,
-    now: Duration,
+    previous: Duration,
+    current: Duration,
 }
 
-/// The longest deadlines that callers lately sent, by route.
+/// Longest recent deadlines by route.
 #[derive(Clone, Debug, Default)]
 pub struct Patience {
-    routes: HashMap<String, Longest>,
+    routes: HashMap<String, LongestDeadline>,
 }
 
 impl Patience {
-    /// Takes the deadline of a request that came now and says how much of its caller's time was
-    /// spent in earlier attempts; zero when it may be the first one.
+    /// Records the deadline of a request that arrived at `now`, and returns the time that its caller has
+    /// spent in earlier attempts; zero if this may be the first one.
     pub fn spent(
         &mut self,
         now: Timestamp,
@@ -42,21 +43,23 @@
         left: Duration,
     ) -> Duration {
         if !self.routes.contains_key(route) {
-            let first = Longest { since: now, before: Duration::ZERO, now: Duration::ZERO };
+            let first =
+                LongestDeadline { since: now, previous: Duration::ZERO, current: Duration::ZERO };
             self.routes.insert(route.to_owned(), first);
         }
-        let longest = self.routes.get_mut(route).expect("it was inserted");
-        if now.since(longest.since) > PERIOD {
-            *longest = Longest { since: now, before: longest.now, now: Duration::ZERO };
+        let longest = self.routes.get_mut(route).expect("the route was inserted above");
+        if now.since(longest.since) > HISTORY_PERIOD {
+            *longest =
+                LongestDeadline { since: now, previous: longest.current, current: Duration::ZERO };
         }
-        longest.now = longest.now.max(left);
-        let usual = longest.now.max(longest.before).min(timeout);
-        let missing = usual.saturating_sub(left);
-        // Who was refused stays away for longer than the deadlines differ.
-        if missing < AWAY { Duration::ZERO } else { missing }
+        longest.current = longest.current.max(left);
+        let full_time = longest.current.max(longest.previous).min(timeout);
+        let elapsed = full_time.saturating_sub(left);
+        // A refused caller waits for longer than the deadlines of first attempts differ by.
+        if elapsed < RETRY_WAIT_MIN { Duration::ZERO } else { elapsed }
     }
 
-    /// Forgets routes that are gone.
+    /// Drops routes that are not `alive`.
     pub fn retain(&mut self, alive: impl Fn(&str) -> bool) {
         self.routes.retain(|route, _| alive(route));
     }
--- a/crates/router/src/pauses.rs
+++ b/crates/router/src/pauses.rs
@@ -1,7 +1,7 @@
-//! Until when backend servers want nothing from this process.
+//! Back-off of backend servers: until when each asked this gateway to send it nothing.
 //!
-//! A server that turns a request away may say for how long. That is no fault of it, and concerns nobody
-//! else: it is passed over until then.
+//! A server that rejects a request may state a back-off. This is no failure and applies to this gateway only,
+//! which skips the server until the back-off ends.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,49 +11,48 @@
 use crate::catalog::ServerId;
 use crate::outcome::Pause;
 
-/// Longest pause that is believed; whoever means more says so again when it is asked then.
-pub const PAUSE_MAX: Duration = Duration::from_secs(300);
-/// Pause of a server that said something that is no time.
-pub const PAUSE_UNREADABLE: Duration = Duration::from_millis(1_000);
+/// Longest back-off that is applied; a server that needs more states it again with the next answer.
+pub const BACK_OFF_MAX: Duration = Duration::from_secs(300);
+/// Back-off for a server whose stated time could not be parsed.
+pub const BACK_OFF_DEFAULT: Duration = Duration::from_millis(1_000);
 
-/// Servers that want nothing for a while.
+/// Servers in back-off.
 #[derive(Clone, Debug, Default)]
 pub struct Pauses {
     until: HashMap<ServerId, Timestamp>,
 }
 
 impl Pauses {
-    /// A server said that it wants nothing; gives until when, and whether that is what it said.
+    /// Records the back-off that a server asked for. Returns its end, and whether it is applied as stated.
     pub fn note(&mut self, now: Timestamp, id: &ServerId, pause: Pause) -> (Timestamp, bool) {
-        let (time, as_said) = match pause {
-            Pause::For(time) => (time.min(PAUSE_MAX), time <= PAUSE_MAX),
-            Pause::Unreadable => (PAUSE_UNREADABLE, false),
+        let (time, as_stated) = match pause {
+            Pause::For(time) => (time.min(BACK_OFF_MAX), time <= BACK_OFF_MAX),
+            Pause::Unreadable => (BACK_OFF_DEFAULT, false),
         };
         let until = now.after(time);
         if time > Duration::ZERO {
             self.until.insert(id.clone(), until);
         }
-        (until, as_said)
+        (until, as_stated)
     }
 
-    /// May a server be sent something?
+    /// Whether requests may be sent to a server.
     pub fn is_open(&self, now: Timestamp, id: &ServerId) -> bool {
         self.until(now, id).is_none()
     }
 
-    /// Until when a server wants nothing; none when it takes something.
+    /// End of the back-off of a server; `None` if it has none.
     pub fn until(&self, now: Timestamp, id: &ServerId) -> Option<Timestamp> {
         self.until.get(id).copied().filter(|until| *until > now)
     }
 
-    /// Forgets pauses that are over.
+    /// Drops back-offs that ended.
     pub fn expire(&mut self, now: Timestamp) {
         self.until.retain(|_, until| *until > now);
     }
 }
 
-/// When the first of some servers takes something again, by when each does; none when one does now, or there
-/// is none.
+/// Earliest end of the given back-offs; `None` if a server has no back-off, or there is no server.
 pub fn soonest(servers: impl Iterator<Item = Option<Timestamp>>) -> Option<Timestamp> {
     let mut first: Option<Timestamp> = None;
     for until in servers {
--- a/crates/router/src/plain.rs
+++ b/crates/router/src/plain.rs
@@ -1,8 +1,7 @@
-//! Which backend server of a plain service takes a request.
+//! Selects the backend server for a call of a plain service.
 //!
-//! Answers the load of short calls on a few servers, some of which fail, hang or turn slow while
-//! their health check is good. Each server is judged by its own recent answers: time, failures, and
-//! requests that it has kept for too long.
+//! Some servers fail, hang or become slow while their health check passes. Each server is therefore rated by
+//! its own recent answers: duration, failures, and calls that are stuck.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,52 +11,51 @@
 use crate::catalog::{Server, ServerId};
 use crate::outcome::{Fate, Load};
 
-/// Weight of a new observation of time or failure: about the last ten answers count, half a second
-/// at 20 checks a second and entry.
+/// Weight of a new duration or failure in the average: about the last ten answers count, which is half a
+/// second at 20 checks per second and gateway.
 pub const NEW_WEIGHT: f64 = 0.15;
-/// Expected time of a call of which nothing is known, in milliseconds; the calls' mean work.
-pub const START_MS: f64 = 30.0;
-/// What a certain failure costs in a comparison, in milliseconds: a call that fails is sent anew
-/// or lost, some ten times its mean time.
-pub const FAILURE_MS: f64 = 400.0;
-/// A call kept this long counts as stuck; 99 in 100 end within 220 ms.
-pub const STUCK: Duration = Duration::from_millis(300);
-/// How long a server that could not be reached is passed over.
-pub const REST: Duration = Duration::from_millis(1_000);
-/// How long the load that a server told is believed.
-pub const LOAD_LIFE: Duration = Duration::from_millis(400);
-/// What another availability zone costs in a comparison, in milliseconds: there and back.
-pub const ZONE_MS: f64 = 3.0;
-/// How fast a failure rate is forgiven without an answer, so that a server that mended is tried
-/// again: by half every two seconds.
-pub const FORGIVEN: Duration = Duration::from_secs(2);
+/// Expected duration of a call at an unknown server, in milliseconds: the mean work of a call.
+pub const INITIAL_MS: f64 = 30.0;
+/// Cost of a certain failure, in milliseconds: a failed call is sent again or lost, which costs about ten
+/// times its mean duration.
+pub const FAILURE_COST_MS: f64 = 400.0;
+/// Duration above which a call counts as stuck; 99 of 100 calls end within 220 ms.
+pub const STUCK_AFTER: Duration = Duration::from_millis(300);
+/// Back-off of a server that could not be reached.
+pub const BACK_OFF: Duration = Duration::from_millis(1_000);
+/// How long a reported load is used.
+pub const LOAD_TTL: Duration = Duration::from_millis(400);
+/// Cost of a call to another availability zone, in milliseconds: one round trip.
+pub const ZONE_COST_MS: f64 = 3.0;
+/// Half-life of a failure rate without new answers, so that a server that recovered is tried again.
+pub const FAILURE_HALF_LIFE: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Debug, Default)]
-struct Record {
-    open: Vec<Timestamp>,
-    ms: Option<f64>,
-    fails: f64,
-    judged_at: Timestamp,
-    rests_until: Timestamp,
+struct ServerStats {
+    in_flight: Vec<Timestamp>,
+    mean_ms: Option<f64>,
+    failure_rate: f64,
+    rated_at: Timestamp,
+    back_off_until: Timestamp,
     load: Option<(Timestamp, Load)>,
 }
 
-impl Record {
+impl ServerStats {
     fn close(&mut self, sent: Timestamp) {
-        if let Some(i) = self.open.iter().position(|at| *at == sent) {
-            self.open.swap_remove(i);
+        if let Some(i) = self.in_flight.iter().position(|at| *at == sent) {
+            self.in_flight.swap_remove(i);
         }
     }
 }
 
-/// Records of all plain backend servers, as this entry saw them.
+/// Statistics of all plain backend servers, as observed by this gateway.
 #[derive(Clone, Debug, Default)]
 pub struct Plain {
-    records: HashMap<ServerId, Record>,
+    by_server: HashMap<ServerId, ServerStats>,
 }
 
 impl Plain {
-    /// The best backend server that was not tried yet; `draw` is uniform in 0..1 and breaks ties.
+    /// Server with the lowest cost among those not in `tried`; `draw` is uniform in 0..1 and breaks ties.
     pub fn pick<'a>(
         &self,
         now: Timestamp,
@@ -73,38 +71,39 @@
             .map(|(_, s)| s)
     }
 
-    /// Expected cost of a call at this server, in milliseconds.
+    /// Expected cost of a call to a server, in milliseconds.
     pub fn cost(&self, now: Timestamp, zone: &str, server: &Server) -> f64 {
-        let apart = if server.zone == zone { 0.0 } else { ZONE_MS };
-        let Some(record) = self.records.get(&server.id) else {
-            return START_MS + apart;
+        let zone_cost = if server.zone == zone { 0.0 } else { ZONE_COST_MS };
+        let Some(stats) = self.by_server.get(&server.id) else {
+            return INITIAL_MS + zone_cost;
         };
         let slots = f64::from(server.slots.max(1));
-        let told = match record.load {
-            Some((at, load)) if now.since(at) < LOAD_LIFE => f64::from(load.running + load.waiting),
+        let reported = match stats.load {
+            Some((at, load)) if now.since(at) < LOAD_TTL => f64::from(load.running + load.waiting),
             _ => 0.0,
         };
-        let busy = told.max(record.open.len() as f64);
-        let ms = record.ms.unwrap_or(START_MS);
-        let stuck = record.open.iter().filter(|at| now.since(**at) > STUCK).count() as f64;
-        let rests = if record.rests_until > now { FAILURE_MS * 10.0 } else { 0.0 };
-        let age = now.since(record.judged_at).as_secs_f64() / FORGIVEN.as_secs_f64();
-        let fails = record.fails * 0.5_f64.powf(age);
-        // Up to its slots a server works side by side; beyond, each further call waits its turn.
+        let busy = reported.max(stats.in_flight.len() as f64);
+        let mean_ms = stats.mean_ms.unwrap_or(INITIAL_MS);
+        let stuck =
+            stats.in_flight.iter().filter(|at| now.since(**at) > STUCK_AFTER).count() as f64;
+        let back_off = if stats.back_off_until > now { FAILURE_COST_MS * 10.0 } else { 0.0 };
+        let half_lives = now.since(stats.rated_at).as_secs_f64() / FAILURE_HALF_LIFE.as_secs_f64();
+        let failure_rate = stats.failure_rate * 0.5_f64.powf(half_lives);
+        // A server runs as many calls in parallel as it has slots; further calls wait.
         let queue = (busy + 1.0 - slots).max(0.0) / slots;
-        ms * (1.0 + busy / slots * 0.5 + queue)
-            + apart
-            + fails * FAILURE_MS
-            + stuck * FAILURE_MS
-            + rests
+        mean_ms * (1.0 + busy / slots * 0.5 + queue)
+            + zone_cost
+            + failure_rate * FAILURE_COST_MS
+            + stuck * FAILURE_COST_MS
+            + back_off
     }
 
-    /// A call was sent.
+    /// Records that a call was sent.
     pub fn sent(&mut self, now: Timestamp, id: &ServerId) {
-        self.records.entry(id.clone()).or_default().open.push(now);
+        self.by_server.entry(id.clone()).or_default().in_flight.push(now);
     }
 
-    /// A call ended that was sent at `sent`.
+    /// Records the end of a call that was sent at `sent`.
     pub fn ended(
         &mut self,
         now: Timestamp,
@@ -113,34 +112,34 @@
         fate: Fate,
         load: Option<Load>,
     ) {
-        let record = self.records.entry(id.clone()).or_default();
-        record.close(sent);
+        let stats = self.by_server.entry(id.clone()).or_default();
+        stats.close(sent);
         if let Some(load) = load {
-            record.load = Some((now, load));
+            stats.load = Some((now, load));
         }
         match fate {
-            Fate::Unsent | Fate::Moved => record.rests_until = now.after(REST),
+            Fate::Unsent | Fate::Moved => stats.back_off_until = now.after(BACK_OFF),
             Fate::Rejected => {}
             Fate::Answered(_) | Fate::Lost => {
                 let failed = if fate.failed() { 1.0 } else { 0.0 };
-                record.fails += NEW_WEIGHT * (failed - record.fails);
-                record.judged_at = now;
+                stats.failure_rate += NEW_WEIGHT * (failed - stats.failure_rate);
+                stats.rated_at = now;
                 let took = now.since(sent).as_secs_f64() * 1e3;
-                let ms = record.ms.get_or_insert(took);
-                *ms += NEW_WEIGHT * (took - *ms);
+                let mean_ms = stats.mean_ms.get_or_insert(took);
+                *mean_ms += NEW_WEIGHT * (took - *mean_ms);
             }
         }
     }
 
-    /// A call was given up because its caller is gone.
+    /// Records that a call was abandoned by its caller.
     pub fn dropped(&mut self, id: &ServerId, sent: Timestamp) {
-        if let Some(record) = self.records.get_mut(id) {
-            record.close(sent);
+        if let Some(stats) = self.by_server.get_mut(id) {
+            stats.close(sent);
         }
     }
 
-    /// Forgets servers that are gone.
+    /// Drops servers that are not `alive` and have no call in flight.
     pub fn retain(&mut self, alive: impl Fn(&ServerId) -> bool) {
-        self.records.retain(|id, r| alive(id) || !r.open.is_empty());
+        self.by_server.retain(|id, r| alive(id) || !r.in_flight.is_empty());
     }
 }
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -1,12 +1,13 @@
-//! Requests under which backend servers end.
+//! Quarantine of requests that crash backend servers.
 //!
-//! A request that ends whichever server runs it comes again, under another id and at any gateway. What it did
-//! therefore stays with its content, and is told to all gateways: an ending is a fact (this content, this
-//! life of a server), so that all of them count the same whoever saw it, and none counts twice. A content
-//! under which several servers ended is refused everywhere until a deadline.
+//! A request that crashes every server which runs it is repeated by its caller, with another id and at any
+//! gateway. Its history is therefore kept by request digest and shared by all gateways. A crash is recorded
+//! as a fact (this digest, this incarnation of a server), so that all gateways count the same crashes, and
+//! each only once. A request under which several servers crashed is refused at all gateways until a deadline.
 //!
-//! A server that ends takes all its requests along. One of them that had run for a while says little; what
-//! had only just begun is suspected, tried again by one gateway at a time, and cleared by one whole answer.
+//! A crashing server takes all its requests down. One that had run for a while is hardly the cause. One that
+//! had just started is a suspect: one gateway at a time sends it again as a probe, and one complete answer
+//! clears it.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -18,152 +19,154 @@
 use crate::content::Content;
 use crate::drift::mix;
 
-/// Points at which a content is refused: three servers that ended as soon as they ran it, or five that ended
-/// later.
-pub const PROOF: u32 = 5;
-/// Points of a server that ended as soon as it ran the content.
+/// Points at which a request is refused: three crashes soon after its start, or five later ones.
+pub const CONFIRM_POINTS: u32 = 5;
+/// Points of a crash soon after the start of the request.
 const EARLY_POINTS: u32 = 2;
-/// Points of a server that ended while it ran the content.
+/// Points of a later crash.
 const LATE_POINTS: u32 = 1;
-/// How long an ending counts: longer than callers repeat, shorter than it takes to forget a busy day.
+/// How long a crash counts: longer than callers repeat a request, and short enough to forget a busy day.
 pub const SUSPECT_LIFE: Duration = Duration::from_secs(600);
-/// How long a proved content is refused; by then an operator has looked at it or nobody sends it.
+/// How long a confirmed request is refused; by then an operator has looked at it, or no caller sends it any
+/// more.
 pub const PROVED_LIFE: Duration = Duration::from_secs(3_600);
-/// How long a suspected content is tried by one gateway alone, if nothing is heard of the end.
-pub const TRIAL_LIFE: Duration = Duration::from_millis(3_000);
-/// How long a content is held back for a loss that is being looked into.
-pub const INQUIRY_LIFE: Duration = Duration::from_millis(600);
-/// Contents kept that are not proved; with an ending or two each they take under two megabytes.
+/// How long a probe of a suspect excludes other gateways if no result of it is received.
+pub const PROBE_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// How long a request is held back while one of its lost attempts is investigated.
+pub const INVESTIGATION_HOLD: Duration = Duration::from_millis(600);
+/// Most unconfirmed digests kept; with one or two crashes each they take less than 2 MB.
 pub const SUSPECTS_MAX: usize = 8_192;
-/// Proved contents kept; a flood of suspects does not push them out.
-pub const PROVED_MAX: usize = 4_096;
-/// How long a whole answer speaks for a content: what many callers ask for is there whenever a server ends.
-pub const SOUND_LIFE: Duration = Duration::from_secs(10);
-/// Contents kept that were answered whole lately: more than one gateway serves in that time.
-const SOUND_MAX: usize = 16_384;
-/// Rows between two looks at their numbers.
-const LOOK_ROWS: usize = 512;
-/// Trials and inquiries kept of one content: more are not made at a time.
+/// Most confirmed digests kept; a flood of suspects does not evict them.
+pub const CONFIRMED_MAX: usize = 4_096;
+/// How long a complete answer counts as evidence that a request is healthy: a request that many callers send
+/// is in flight at any server that crashes.
+pub const HEALTHY_TTL: Duration = Duration::from_secs(10);
+/// Most healthy digests kept; other gateways receive requests within `HEALTHY_TTL` too.
+const HEALTHY_MAX: usize = 16_384;
+/// New rows between two checks of the table size.
+const CHECK_ROWS: usize = 512;
+/// Most probes and investigations kept per digest; there are never more at a time.
 const HOLDS_MAX: usize = 16;
-/// Endings kept of one content; more prove nothing more.
-const ENDINGS_MAX: usize = PROOF as usize;
+/// Most crashes kept per digest; further ones change nothing.
+const CRASHES_MAX: usize = CONFIRM_POINTS as usize;
 
-/// A server that ended under a content.
+/// A crash of a server while it ran a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Ending {
-    /// The life that ended.
+    /// The incarnation that crashed.
     pub server: ServerId,
-    /// It had only just begun to run the content.
+    /// The request had only just started.
     pub early: bool,
-    /// When the run was lost.
+    /// When the attempt was lost.
     pub at: Timestamp,
 }
 
-/// What gateways tell each other of a content.
+/// Update about a request digest, exchanged between gateways.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Word {
-    /// The content.
+    /// Digest of the request.
     #[serde(rename = "c")]
     pub content: Content,
-    /// Milliseconds since what is told.
+    /// Age of the fact in milliseconds.
     #[serde(rename = "a")]
     pub age: u64,
-    /// What is told.
+    /// The fact.
     #[serde(rename = "f")]
     pub fact: Fact,
 }
 
-/// What happened to a content.
+/// Event in the history of a request digest.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Fact {
-    /// A run broke off as soon as it had begun; why is being looked into, by this number.
+    /// An attempt was lost soon after its start and is investigated under this number.
     #[serde(rename = "l")]
     Lost(u64),
-    /// A suspected content is being tried, by this number.
+    /// A suspect is probed, under this number.
     #[serde(rename = "t")]
     Trying(u64),
-    /// The trial or the inquiry of this number is over.
+    /// The probe or investigation with this number has ended.
     #[serde(rename = "o")]
     Over(u64),
-    /// A server ended under it; whether it had only just begun.
+    /// A server crashed under the request; true if soon after its start.
     #[serde(rename = "e")]
     Ended(ServerId, bool),
-    /// It was answered whole.
+    /// The request was answered completely.
     #[serde(rename = "s")]
     Served,
-    /// It is proved.
+    /// The request is confirmed to crash servers.
     #[serde(rename = "p")]
     Proved,
-    /// An operator lets it in again.
+    /// An operator released the request.
     #[serde(rename = "r")]
     Released,
 }
 
-/// How a request with some content is treated.
+/// How a request is treated.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Standing {
-    /// As any other.
+    /// Sent like any other.
     Free,
-    /// It is tried, by nobody else meanwhile.
+    /// To be sent as a probe, by one gateway at a time.
     Suspect,
-    /// It is being tried or looked into until then at the latest.
+    /// Being probed or investigated, at most until then.
     Held(Timestamp),
-    /// It is refused until then.
+    /// Refused until then.
     Proved(Timestamp),
 }
 
-/// What a fact changed.
+/// Effect of a fact.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// Nothing that matters for a decision.
+    /// No change of treatment.
     Nothing,
-    /// The content is suspected, or more than before.
+    /// The request became a suspect, or has more points than before.
     Suspected,
-    /// The content is proved.
+    /// The request is confirmed.
     Proved,
-    /// The content is neither any more.
+    /// The request is neither suspect nor confirmed any more.
     Cleared,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Row {
-    endings: Vec<Ending>,
-    proved_at: Option<Timestamp>,
-    /// Endings up to then don't count: it was answered whole.
+    crashes: Vec<Ending>,
+    confirmed_at: Option<Timestamp>,
+    /// Crashes up to then don't count, since the request was answered completely.
     served_at: Timestamp,
-    /// Neither endings nor proofs up to then count: an operator let it in.
+    /// Crashes and confirmations up to then don't count, since an operator released the request.
     released_at: Timestamp,
-    /// Trials and inquiries, by their numbers, and until when each counts at the latest.
+    /// Numbers of running probes and investigations, each with the time at which it expires.
     holds: Vec<(u64, Timestamp)>,
 }
 
 impl Row {
     fn points(&self) -> u32 {
         let points = |e: &Ending| if e.early { EARLY_POINTS } else { LATE_POINTS };
-        self.endings.iter().map(points).sum()
+        self.crashes.iter().map(points).sum()
     }
 
     fn held_until(&self) -> Timestamp {
         self.holds.iter().map(|(_, until)| *until).max().unwrap_or_default()
     }
 
-    fn is_watched(&self) -> bool {
-        self.endings.iter().any(|e| e.early)
+    fn is_suspect(&self) -> bool {
+        self.crashes.iter().any(|e| e.early)
     }
 
-    /// Until when it matters at all.
+    /// When the row can be dropped.
     fn ends_at(&self) -> Timestamp {
-        let proof = self.proved_at.map_or(Timestamp::default(), |at| at.after(PROVED_LIFE));
-        let endings = self.endings.iter().map(|e| e.at.after(SUSPECT_LIFE)).max();
+        let confirmed_until =
+            self.confirmed_at.map_or(Timestamp::default(), |at| at.after(PROVED_LIFE));
+        let crashes = self.crashes.iter().map(|e| e.at.after(SUSPECT_LIFE)).max();
         let cleared = self.served_at.max(self.released_at);
-        // A clearing must outlive the endings that others may still tell.
+        // A clearing must outlive the crashes that peers may still report.
         let cleared =
             if cleared > Timestamp::default() { cleared.after(SUSPECT_LIFE) } else { cleared };
-        proof.max(endings.unwrap_or_default()).max(cleared).max(self.held_until())
+        confirmed_until.max(crashes.unwrap_or_default()).max(cleared).max(self.held_until())
     }
 
     fn standing(&self, now: Timestamp) -> Standing {
-        if let Some(at) = self.proved_at
+        if let Some(at) = self.confirmed_at
             && at.after(PROVED_LIFE) > now
         {
             return Standing::Proved(at.after(PROVED_LIFE));
@@ -171,18 +174,18 @@
         if self.held_until() > now {
             return Standing::Held(self.held_until());
         }
-        if self.is_watched() { Standing::Suspect } else { Standing::Free }
+        if self.is_suspect() { Standing::Suspect } else { Standing::Free }
     }
 }
 
-/// All contents of which something is known.
+/// History of all suspect and confirmed requests.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     rows: HashMap<Content, Row>,
-    /// Contents that were answered whole here, and when.
-    sound: HashMap<Content, Timestamp>,
-    /// Rows at which their numbers are looked at again.
-    look_at: usize,
+    /// Requests that this gateway received a complete answer for, and when.
+    healthy: HashMap<Content, Timestamp>,
+    /// Row count at which the table size is checked again.
+    check_at: usize,
 }
 
 impl Quarantine {
@@ -191,53 +194,55 @@
         self.rows.get(content).map_or(Standing::Free, |row| row.standing(now))
     }
 
-    /// Servers that are known to have ended under a content.
+    /// Known crashes under a request.
     pub fn endings(&self, content: &Content) -> &[Ending] {
-        self.rows.get(content).map_or(&[], |row| &row.endings)
+        self.rows.get(content).map_or(&[], |row| &row.crashes)
     }
 
-    /// Would one more server that ends at once prove a content? Then it is worth being kept by others too.
+    /// Whether one more crash soon after the start would confirm the request. Other gateways then store it
+    /// too.
     pub fn is_close(&self, content: &Content) -> bool {
-        let close = |row: &Row| row.proved_at.is_none() && row.points() + EARLY_POINTS >= PROOF;
+        let close =
+            |row: &Row| row.confirmed_at.is_none() && row.points() + EARLY_POINTS >= CONFIRM_POINTS;
         self.rows.get(content).is_some_and(close)
     }
 
-    /// Is anything known of a content?
+    /// Whether there is a history of the request.
     pub fn is_known(&self, content: &Content) -> bool {
         self.rows.contains_key(content)
     }
 
-    /// A content was answered whole here; true when others should hear of it.
+    /// Records a complete answer at this gateway; true if other gateways need the update.
     pub fn served_here(&mut self, now: Timestamp, content: Content) -> bool {
-        if self.sound.len() >= SOUND_MAX {
-            self.sound.retain(|_, at| at.after(SOUND_LIFE) > now);
+        if self.healthy.len() >= HEALTHY_MAX {
+            self.healthy.retain(|_, at| at.after(HEALTHY_TTL) > now);
         }
-        if self.sound.len() >= SOUND_MAX {
-            self.sound.clear();
+        if self.healthy.len() >= HEALTHY_MAX {
+            self.healthy.clear();
         }
-        self.sound.insert(content, now);
+        self.healthy.insert(content, now);
         self.is_known(&content)
     }
 
-    /// Was a content answered whole here shortly before a moment, or since?
+    /// Whether the request was answered completely at this gateway after, or shortly before, the given time.
     pub fn is_sound(&self, at: Timestamp, content: &Content) -> bool {
-        self.sound.get(content).is_some_and(|served| served.after(SOUND_LIFE) > at)
+        self.healthy.get(content).is_some_and(|served| served.after(HEALTHY_TTL) > at)
     }
 
-    /// Takes what happened here, or what a peer tells.
-    pub fn take(&mut self, now: Timestamp, word: &Word) -> Change {
-        let (content, at) = (word.content, now.before(Duration::from_millis(word.age)));
-        match &word.fact {
-            Fact::Lost(number) => self.hold(now, content, *number, at.after(INQUIRY_LIFE)),
-            Fact::Trying(number) => self.hold(now, content, *number, at.after(TRIAL_LIFE)),
-            Fact::Over(number) => self.let_go(now, content, *number),
+    /// Applies an update of this gateway or of a peer.
+    pub fn take(&mut self, now: Timestamp, update: &Word) -> Change {
+        let (content, at) = (update.content, now.before(Duration::from_millis(update.age)));
+        match &update.fact {
+            Fact::Lost(number) => self.hold(now, content, *number, at.after(INVESTIGATION_HOLD)),
+            Fact::Trying(number) => self.hold(now, content, *number, at.after(PROBE_TIMEOUT)),
+            Fact::Over(number) => self.release_hold(now, content, *number),
             Fact::Ended(server, early) => {
-                let ending = Ending { server: server.clone(), early: *early, at };
-                return self.ended(now, content, ending);
+                let crash = Ending { server: server.clone(), early: *early, at };
+                return self.record_crash(now, content, crash);
             }
-            Fact::Served => return self.served(content, at),
-            Fact::Proved => return self.proved(now, content, at),
-            Fact::Released => return self.released(content, at),
+            Fact::Served => return self.record_served(content, at),
+            Fact::Proved => return self.record_confirmed(now, content, at),
+            Fact::Released => return self.record_released(content, at),
         }
         Change::Nothing
     }
@@ -248,156 +253,156 @@
         if row.holds.len() < HOLDS_MAX && row.holds.iter().all(|(n, _)| *n != number) {
             row.holds.push((number, until));
         }
-        self.bound();
+        self.evict();
     }
 
-    /// Only its own hold: others may still be looked into.
-    fn let_go(&mut self, now: Timestamp, content: Content, number: u64) {
+    /// Removes only the hold with this number; other investigations may be running.
+    fn release_hold(&mut self, now: Timestamp, content: Content, number: u64) {
         let Some(row) = self.rows.get_mut(&content) else {
             return;
         };
         row.holds.retain(|(n, until)| *n != number && *until > now);
     }
 
-    fn ended(&mut self, now: Timestamp, content: Content, ending: Ending) -> Change {
-        if ending.at.after(SUSPECT_LIFE) <= now {
+    fn record_crash(&mut self, now: Timestamp, content: Content, crash: Ending) -> Change {
+        if crash.at.after(SUSPECT_LIFE) <= now {
             return Change::Nothing;
         }
         let row = self.rows.entry(content).or_default();
-        let known = row.endings.iter().any(|e| e.server == ending.server);
-        let void = ending.at <= row.served_at.max(row.released_at);
-        if known || void || row.endings.len() >= ENDINGS_MAX {
+        let known = row.crashes.iter().any(|e| e.server == crash.server);
+        let voided = crash.at <= row.served_at.max(row.released_at);
+        if known || voided || row.crashes.len() >= CRASHES_MAX {
             return Change::Nothing;
         }
-        row.endings.push(ending);
-        let proved = row.proved_at.is_none() && row.points() >= PROOF;
+        row.crashes.push(crash);
+        let proved = row.confirmed_at.is_none() && row.points() >= CONFIRM_POINTS;
         if proved {
-            row.proved_at = row.endings.iter().map(|e| e.at).max();
+            row.confirmed_at = row.crashes.iter().map(|e| e.at).max();
         }
         let change = if proved { Change::Proved } else { Change::Suspected };
-        self.bound();
+        self.evict();
         change
     }
 
-    /// One that is proved stays so: the answer may have begun before.
-    fn served(&mut self, content: Content, at: Timestamp) -> Change {
-        let Some(row) = self.rows.get_mut(&content).filter(|row| row.proved_at.is_none()) else {
+    /// A confirmed request stays confirmed, since the answer may have begun before.
+    fn record_served(&mut self, content: Content, at: Timestamp) -> Change {
+        let Some(row) = self.rows.get_mut(&content).filter(|row| row.confirmed_at.is_none()) else {
             return Change::Nothing;
         };
-        let before = row.endings.len();
+        let before = row.crashes.len();
         row.served_at = row.served_at.max(at);
-        row.endings.retain(|e| e.at > at);
+        row.crashes.retain(|e| e.at > at);
         row.holds.clear();
-        if row.endings.len() < before { Change::Cleared } else { Change::Nothing }
+        if row.crashes.len() < before { Change::Cleared } else { Change::Nothing }
     }
 
-    fn proved(&mut self, now: Timestamp, content: Content, at: Timestamp) -> Change {
+    fn record_confirmed(&mut self, now: Timestamp, content: Content, at: Timestamp) -> Change {
         if at.after(PROVED_LIFE) <= now {
             return Change::Nothing;
         }
         let row = self.rows.entry(content).or_default();
-        if at <= row.released_at || row.proved_at.is_some_and(|before| before >= at) {
+        if at <= row.released_at || row.confirmed_at.is_some_and(|before| before >= at) {
             return Change::Nothing;
         }
-        let change = if row.proved_at.is_none() { Change::Proved } else { Change::Nothing };
-        row.proved_at = Some(at);
-        self.bound();
+        let change = if row.confirmed_at.is_none() { Change::Proved } else { Change::Nothing };
+        row.confirmed_at = Some(at);
+        self.evict();
         change
     }
 
-    fn released(&mut self, content: Content, at: Timestamp) -> Change {
+    fn record_released(&mut self, content: Content, at: Timestamp) -> Change {
         let row = self.rows.entry(content).or_default();
         if at <= row.released_at {
             return Change::Nothing;
         }
         row.released_at = at;
-        row.endings.retain(|e| e.at > at);
+        row.crashes.retain(|e| e.at > at);
         row.holds.clear();
-        row.proved_at = row.proved_at.filter(|proved| *proved > at);
-        if row.proved_at.is_none() { Change::Cleared } else { Change::Nothing }
+        row.confirmed_at = row.confirmed_at.filter(|proved| *proved > at);
+        if row.confirmed_at.is_none() { Change::Cleared } else { Change::Nothing }
     }
 
-    /// Everything that a peer should know, for one that knows something else.
+    /// Full state as updates, for a peer whose checksum differs.
     pub fn table(&self, now: Timestamp) -> Vec<Word> {
-        let mut words = Vec::new();
+        let mut updates = Vec::new();
         for (content, row) in &self.rows {
-            let mut tell = |at: Timestamp, fact| {
+            let mut add = |at: Timestamp, fact| {
                 let age = now.since(at).as_millis() as u64;
-                words.push(Word { content: *content, age, fact });
+                updates.push(Word { content: *content, age, fact });
             };
-            // What voids goes first.
+            // Facts that void others come first.
             if row.released_at > Timestamp::default() {
-                tell(row.released_at, Fact::Released);
+                add(row.released_at, Fact::Released);
             }
             if row.served_at > Timestamp::default() {
-                tell(row.served_at, Fact::Served);
+                add(row.served_at, Fact::Served);
             }
-            for e in &row.endings {
-                tell(e.at, Fact::Ended(e.server.clone(), e.early));
+            for e in &row.crashes {
+                add(e.at, Fact::Ended(e.server.clone(), e.early));
             }
-            if let Some(at) = row.proved_at {
-                tell(at, Fact::Proved);
+            if let Some(at) = row.confirmed_at {
+                add(at, Fact::Proved);
             }
         }
-        words
+        updates
     }
 
-    /// A sum over all that is known, zero when nothing is: gateways with the same sum know the same.
+    /// Checksum of the state, zero if it is empty; gateways with equal checksums have the same state.
     pub fn sum(&self) -> u64 {
-        self.rows.iter().map(|(content, row)| row_sum(content, row)).fold(0, |a, b| a ^ b)
+        self.rows.iter().map(|(content, row)| row_checksum(content, row)).fold(0, |a, b| a ^ b)
     }
 
-    /// Contents that are suspected, and that are proved.
+    /// Number of suspect and of confirmed requests.
     pub fn counts(&self) -> (usize, usize) {
-        let proved = self.rows.values().filter(|r| r.proved_at.is_some()).count();
-        let suspect = self.rows.values().filter(|r| r.proved_at.is_none() && r.is_watched());
+        let proved = self.rows.values().filter(|r| r.confirmed_at.is_some()).count();
+        let suspect = self.rows.values().filter(|r| r.confirmed_at.is_none() && r.is_suspect());
         (suspect.count(), proved)
     }
 
-    /// Forgets what does not matter any more; the proved ones among it.
+    /// Drops expired rows, and returns the confirmed requests among them.
     pub fn expire(&mut self, now: Timestamp) -> Vec<Content> {
-        let over = |row: &Row| row.ends_at() <= now;
+        let expired = |row: &Row| row.ends_at() <= now;
         let proved = |(content, row): (&Content, &Row)| {
-            (over(row) && row.proved_at.is_some()).then_some(*content)
+            (expired(row) && row.confirmed_at.is_some()).then_some(*content)
         };
         let forgotten = self.rows.iter().filter_map(proved).collect();
-        self.rows.retain(|_, row| !over(row));
+        self.rows.retain(|_, row| !expired(row));
         for row in self.rows.values_mut() {
-            row.endings.retain(|e| e.at.after(SUSPECT_LIFE) > now);
+            row.crashes.retain(|e| e.at.after(SUSPECT_LIFE) > now);
         }
         forgotten
     }
 
-    /// Keeps both kinds within their numbers; the least and the oldest go first. This is a walk over
-    /// everything, so it is made once in many rows, and makes room for as many.
-    fn bound(&mut self) {
-        if self.rows.len() < self.look_at.max(LOOK_ROWS) {
+    /// Keeps both kinds of rows within their maximum; rows with the fewest points go first, then the oldest.
+    /// This walks the whole table, so it runs once per `CHECK_ROWS` new rows and makes room for as many.
+    fn evict(&mut self) {
+        if self.rows.len() < self.check_at.max(CHECK_ROWS) {
             return;
         }
-        for (proved, most) in [(false, SUSPECTS_MAX), (true, PROVED_MAX)] {
+        for (proved, max) in [(false, SUSPECTS_MAX), (true, CONFIRMED_MAX)] {
             let mut rows: Vec<(u32, Timestamp, Content)> = self
                 .rows
                 .iter()
-                .filter(|(_, row)| row.proved_at.is_some() == proved)
+                .filter(|(_, row)| row.confirmed_at.is_some() == proved)
                 .map(|(content, row)| (row.points(), row.ends_at(), *content))
                 .collect();
-            if rows.len() + LOOK_ROWS <= most {
+            if rows.len() + CHECK_ROWS <= max {
                 continue;
             }
-            let over = (rows.len() + 2 * LOOK_ROWS - most).min(rows.len());
-            rows.select_nth_unstable(over - 1);
-            rows[..over].iter().for_each(|(.., content)| drop(self.rows.remove(content)));
+            let surplus = (rows.len() + 2 * CHECK_ROWS - max).min(rows.len());
+            rows.select_nth_unstable(surplus - 1);
+            rows[..surplus].iter().for_each(|(.., content)| drop(self.rows.remove(content)));
         }
-        self.look_at = self.rows.len() + LOOK_ROWS;
+        self.check_at = self.rows.len() + CHECK_ROWS;
     }
 }
 
-fn row_sum(content: &Content, row: &Row) -> u64 {
-    let own = mix(content.0 ^ content.1);
-    if row.proved_at.is_some() {
-        // Which of many endings each one keeps does not matter any more.
-        return mix(own);
+fn row_checksum(content: &Content, row: &Row) -> u64 {
+    let digest_hash = mix(content.0 ^ content.1);
+    if row.confirmed_at.is_some() {
+        // Gateways may keep different crashes of a confirmed request; that makes no difference any more.
+        return mix(digest_hash);
     }
-    let ending = |e: &Ending| mix(own ^ e.server.number());
-    row.endings.iter().map(ending).fold(0, |a, b| a ^ b)
+    let crash = |e: &Ending| mix(digest_hash ^ e.server.number());
+    row.crashes.iter().map(crash).fold(0, |a, b| a ^ b)
 }
--- a/crates/router/src/quota.rs
+++ b/crates/router/src/quota.rs
@@ -1,9 +1,10 @@
-//! Bounds on a rate that all gateways share: quotas of client accounts, limits of backend servers.
+//! Rate limits shared by all gateways: quotas of client accounts, limits of backend servers.
 //!
-//! Each bound has a home among the gateways, which lends it out: a gateway that takes a request asks
-//! there for what the request weighs, and for some more if it expects more. Tokens are lent once, so the sum
-//! keeps the bound wherever requests come in. Who is home follows from the list of gateways alone (`homes`);
-//! a home begins with what time has brought since it is one, and so grants no second burst.
+//! Each limit has an owner among the gateways, which grants token leases. A gateway that receives a request
+//! asks the owner for the cost of the request, plus tokens for the demand that it expects. Each token is
+//! granted once, so the sum keeps the limit wherever requests arrive. The owner follows from the list of
+//! gateways alone (`homes`). A new owner starts with the tokens that have accrued since it became the owner,
+//! and so grants no second burst.
 
 pub mod borrower;
 pub mod homes;
@@ -18,27 +19,27 @@
 use crate::drift::number;
 use crate::limits::Limit;
 
-/// How long tokens may be used by who borrowed them, from when it asked.
-pub const LOAN_LIFE: Duration = Duration::from_millis(1_000);
+/// Validity of a token lease, from when it was requested.
+pub const LEASE_TTL: Duration = Duration::from_millis(1_000);
 
-/// What a bound is set on.
+/// What a rate limit applies to.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Key {
-    /// The requests or tokens of a client account.
+    /// Requests or tokens of a client account.
     #[serde(rename = "a")]
     Account(Name),
-    /// The requests that a backend server takes.
+    /// Requests to a backend server.
     #[serde(rename = "s")]
     Server(ServerId),
 }
 
 impl Key {
-    /// A client account's.
+    /// Key of a client account.
     pub fn account(name: &str) -> Self {
         Key::Account(name.into())
     }
 
-    /// A number that hardly any other one has.
+    /// Hash of the key.
     pub fn number(&self) -> u64 {
         match self {
             Key::Account(name) => number(name.as_str()),
@@ -47,54 +48,54 @@
     }
 }
 
-/// What a gateway asks a bound's home for.
+/// Request for a token lease, sent to the owner of a limit.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Ask {
-    /// Names the question; the answer bears it.
+    /// Identifies the request; the response carries it.
     #[serde(rename = "n")]
     pub number: u64,
-    /// The bound.
+    /// The rate limit.
     #[serde(rename = "a")]
     pub key: Key,
-    /// What the request weighs.
+    /// Cost of the caller's request.
     #[serde(rename = "w")]
     pub need: u64,
-    /// What is likely to be needed soon.
+    /// Tokens for expected demand.
     #[serde(rename = "m")]
     pub more: u64,
-    /// A backend server's limit, as who asks knows it; its home may not have heard of it yet.
+    /// Limit of a backend server as known to the sender; the owner may not have received it yet.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
     pub limit: Option<Limit>,
 }
 
-/// A home's answer.
+/// Decision of an owner.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Reply {
-    /// So much is lent; at least what was needed.
+    /// Tokens granted; at least the requested cost.
     #[serde(rename = "l")]
     Lent(u64),
-    /// The bound is used up.
+    /// The limit is exhausted.
     #[serde(rename = "o")]
     Over {
-        /// Milliseconds until there is room for such a request.
+        /// Milliseconds until a request of this cost can be admitted.
         #[serde(rename = "r")]
         room: u32,
-        /// Milliseconds after which its caller should come back; others were told to come before.
+        /// Retry-after for the caller in milliseconds, later than that of callers refused before.
         #[serde(rename = "b")]
         back: u32,
     },
-    /// This gateway is not the bound's home, or does not know the bound.
+    /// This gateway does not own the limit, or does not know it.
     #[serde(rename = "e")]
     Elsewhere,
 }
 
-/// An answer on its way.
+/// Response to a lease request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Answer {
-    /// Of the question.
+    /// Number of the request.
     #[serde(rename = "n")]
     pub number: u64,
-    /// What it says.
+    /// The decision.
     #[serde(rename = "r")]
     pub reply: Reply,
 }
--- a/crates/router/src/quota/borrower.rs
+++ b/crates/router/src/quota/borrower.rs
@@ -1,140 +1,140 @@
-//! What a gateway has borrowed of bounds and not used yet.
+//! Token leases that this gateway holds.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
 use ebonyloft_core::time::Timestamp;
 
-use super::{Key, LOAN_LIFE};
+use super::{Key, LEASE_TTL};
 
-/// Time over which demand is averaged.
-const DEMAND_SPAN: Duration = Duration::from_millis(1_000);
-/// Demand that is borrowed ahead.
-const AHEAD: Duration = Duration::from_millis(300);
-/// A bound that was not asked for so long is forgotten.
-const FORGET: Duration = Duration::from_secs(10);
+/// Time constant of the average demand.
+const DEMAND_WINDOW: Duration = Duration::from_millis(1_000);
+/// Demand for which tokens are leased in advance.
+const PREFETCH_TIME: Duration = Duration::from_millis(300);
+/// Idle time after which the state of a limit is dropped.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Tokens of one loan, and until when they may be used.
+/// Tokens of one lease, and when they expire.
 #[derive(Clone, Copy, Debug)]
-struct Lot {
+struct Lease {
     tokens: u64,
     ends_at: Timestamp,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Row {
-    lots: VecDeque<Lot>,
-    /// Tokens a second, as of `seen_at`.
+    leases: VecDeque<Lease>,
+    /// Tokens per second, as of `seen_at`.
     demand: f64,
     seen_at: Timestamp,
-    /// Until when the home has no room, and when a caller should come back.
-    over: Option<(Timestamp, Timestamp)>,
+    /// Until when the owner has no tokens, and when a refused caller should retry.
+    exhausted: Option<(Timestamp, Timestamp)>,
 }
 
-/// The tokens that a gateway holds, by bound.
+/// Leased tokens by rate limit.
 #[derive(Clone, Debug, Default)]
 pub struct Borrower {
     rows: HashMap<Key, Row>,
 }
 
 impl Borrower {
-    /// A request asks for so much: true when that is held here, and is taken.
+    /// Records the demand, and spends `need` leased tokens; false if there are fewer.
     pub fn take(&mut self, now: Timestamp, key: &Key, need: u64) -> bool {
         let row = self.row(key);
-        row.note(now, need);
+        row.record_demand(now, need);
         row.take(now, need)
     }
 
-    /// Takes what a request needs from what a loan brought.
+    /// Spends `need` tokens after a grant; false if there are fewer.
     pub fn take_lent(&mut self, now: Timestamp, key: &Key, need: u64) -> bool {
         self.row(key).take(now, need)
     }
 
-    /// Is the bound known to be used up now? Until when, and when to come back.
+    /// If the limit is known to be exhausted: until when, and when a refused caller should retry.
     pub fn over(&self, now: Timestamp, key: &Key) -> Option<(Timestamp, Timestamp)> {
-        let (room_at, back_at) = self.rows.get(key)?.over?;
+        let (room_at, back_at) = self.rows.get(key)?.exhausted?;
         (now < room_at).then_some((room_at, back_at))
     }
 
-    /// What is worth borrowing beside the request that is there.
+    /// Tokens to lease in advance, beside the request at hand.
     pub fn more(&self, key: &Key) -> u64 {
-        self.rows.get(key).map_or(0, |row| (row.demand * AHEAD.as_secs_f64()) as u64)
+        self.rows.get(key).map_or(0, |row| (row.demand * PREFETCH_TIME.as_secs_f64()) as u64)
     }
 
-    /// The home lent so much, asked at `asked`.
+    /// Adds tokens that the owner granted for a request made at `asked`.
     pub fn lent(&mut self, key: &Key, asked: Timestamp, tokens: u64) {
         let row = self.row(key);
-        row.over = None;
-        row.lots.push_back(Lot { tokens, ends_at: asked.after(LOAN_LIFE) });
+        row.exhausted = None;
+        row.leases.push_back(Lease { tokens, ends_at: asked.after(LEASE_TTL) });
     }
 
-    /// The home has no room.
+    /// Records that the owner has no tokens.
     pub fn refused(&mut self, key: &Key, room_at: Timestamp, back_at: Timestamp) {
-        self.row(key).over = Some((room_at, back_at));
+        self.row(key).exhausted = Some((room_at, back_at));
     }
 
-    /// A request did not run: what it took can be used by another one.
+    /// Returns the tokens of a request that did not run, for use by another one.
     pub fn give_back(&mut self, now: Timestamp, key: &Key, tokens: u64) {
-        self.row(key).lots.push_back(Lot { tokens, ends_at: now.after(LOAN_LIFE) });
+        self.row(key).leases.push_back(Lease { tokens, ends_at: now.after(LEASE_TTL) });
     }
 
-    /// Tokens held of a bound.
+    /// Unexpired tokens of a limit.
     pub fn held(&self, now: Timestamp, key: &Key) -> u64 {
-        let lots = self.rows.get(key).map(|row| &row.lots).into_iter().flatten();
-        lots.filter(|lot| now < lot.ends_at).map(|lot| lot.tokens).sum()
+        let leases = self.rows.get(key).map(|row| &row.leases).into_iter().flatten();
+        leases.filter(|lease| now < lease.ends_at).map(|lease| lease.tokens).sum()
     }
 
-    /// Takes out what would lapse unused within `soon`: it goes back to its home, which can lend it anew.
+    /// Removes tokens that expire within `soon`, to be returned to the owner, which can grant them again.
     pub fn unused(&mut self, now: Timestamp, soon: Duration) -> Vec<(Key, u64)> {
         let end = now.after(soon);
-        let rows = self.rows.iter_mut().map(|(key, row)| (key, row.cut(now, end)));
+        let rows = self.rows.iter_mut().map(|(key, row)| (key, row.remove_expiring(now, end)));
         rows.filter(|(_, tokens)| *tokens > 0).map(|(key, tokens)| (key.clone(), tokens)).collect()
     }
 
-    /// Forgets bounds that nothing is asked of.
+    /// Drops limits without recent demand.
     pub fn expire(&mut self, now: Timestamp) {
-        self.rows.retain(|_, row| now.since(row.seen_at) < FORGET);
+        self.rows.retain(|_, row| now.since(row.seen_at) < IDLE_TIMEOUT);
     }
 
     fn row(&mut self, key: &Key) -> &mut Row {
         if !self.rows.contains_key(key) {
             self.rows.insert(key.clone(), Row::default());
         }
-        self.rows.get_mut(key).expect("it was put in")
+        self.rows.get_mut(key).expect("the row was inserted above")
     }
 }
 
 impl Row {
-    fn note(&mut self, now: Timestamp, need: u64) {
-        let span = DEMAND_SPAN.as_secs_f64();
-        let kept = (-now.since(self.seen_at).as_secs_f64() / span).exp();
-        self.demand = self.demand * kept + need as f64 / span;
+    fn record_demand(&mut self, now: Timestamp, need: u64) {
+        let span = DEMAND_WINDOW.as_secs_f64();
+        let decay = (-now.since(self.seen_at).as_secs_f64() / span).exp();
+        self.demand = self.demand * decay + need as f64 / span;
         self.seen_at = now;
     }
 
-    /// Takes out what ends before `end`, of what has not lapsed.
-    fn cut(&mut self, now: Timestamp, end: Timestamp) -> u64 {
-        let ends = |lot: &&Lot| now < lot.ends_at && lot.ends_at <= end;
-        let tokens = self.lots.iter().filter(ends).map(|lot| lot.tokens).sum();
-        self.lots.retain(|lot| lot.ends_at > end);
+    /// Removes leases that expire by `end`, and returns their unexpired tokens.
+    fn remove_expiring(&mut self, now: Timestamp, end: Timestamp) -> u64 {
+        let ends = |lease: &&Lease| now < lease.ends_at && lease.ends_at <= end;
+        let tokens = self.leases.iter().filter(ends).map(|lease| lease.tokens).sum();
+        self.leases.retain(|lease| lease.ends_at > end);
         tokens
     }
 
     fn take(&mut self, now: Timestamp, need: u64) -> bool {
-        self.lots.retain(|lot| now < lot.ends_at);
-        let held = self.lots.iter().fold(0_u64, |sum, lot| sum.saturating_add(lot.tokens));
+        self.leases.retain(|lease| now < lease.ends_at);
+        let held = self.leases.iter().fold(0_u64, |sum, lease| sum.saturating_add(lease.tokens));
         if held < need {
             return false;
         }
         let mut left = need;
-        while let Some(lot) = self.lots.front_mut()
+        while let Some(lease) = self.leases.front_mut()
             && left > 0
         {
-            let used = left.min(lot.tokens);
-            lot.tokens -= used;
+            let used = left.min(lease.tokens);
+            lease.tokens -= used;
             left -= used;
-            if lot.tokens == 0 {
-                self.lots.pop_front();
+            if lease.tokens == 0 {
+                self.leases.pop_front();
             }
         }
         true
--- a/crates/router/src/quota/homes.rs
+++ b/crates/router/src/quota/homes.rs
@@ -1,9 +1,10 @@
-//! Which gateway lends a bound.
+//! Which gateway owns a rate limit and grants its tokens.
 //!
-//! Gateways are ranked for each bound by weighted rendezvous hashing over those that are registered, so that
-//! all agree without a message, and the loss of one moves only its own bounds. A gateway asks the first one
-//! that it hears. Each gateway tells which ones it misses; a home lends the part of the bound that belongs to
-//! those who ask it by that rule. However a fleet is cut, nobody's part is lent by two homes.
+//! Registered gateways are ranked for each limit by weighted rendezvous hashing, so that all agree without
+//! messages, and the loss of a gateway moves only the limits that it owned. A gateway asks the first ranked
+//! one that it can reach. Each gateway publishes which others it can't reach; an owner grants the share of
+//! the limit that belongs to the gateways which ask it by this rule. However the network is partitioned, no
+//! share is granted by two owners.
 
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -12,24 +13,24 @@
 use crate::drift::{mix, number};
 use crate::fleet::Fleet;
 
-/// Gateways ranked for a bound; when all of them are lost nobody lends until the list has changed.
-const RANKS: usize = 4;
+/// Gateways ranked for a limit; when all of them are lost, no tokens are granted until the list changes.
+const RANKED_MAX: usize = 4;
 
-/// Numbers of gateways that one does not hear.
+/// Numbers of the gateways that a gateway can't reach.
 pub type Missing = BTreeSet<u32>;
 
-/// The number by which a gateway is told to be missed.
+/// Compact number that identifies a gateway in `Missing`.
 pub fn gateway_number(name: &str) -> u32 {
     (number(name) >> 32) as u32
 }
 
-/// What a gateway knows of one that votes: those it misses.
+/// Access to the unreachable gateways that each gateway reports.
 pub trait Votes {
-    /// Whom a gateway misses; none when it was not heard lately.
+    /// Gateways that `name` can't reach; `None` without a recent report from it.
     fn missing(&self, name: &str) -> Option<&Missing>;
 }
 
-/// The ranks for bounds over one list of gateways.
+/// Cached ranks of gateways for one edition of the gateway list.
 #[derive(Clone, Debug, Default)]
 pub struct Homes {
     edition: u64,
@@ -37,7 +38,7 @@
 }
 
 impl Homes {
-    /// The gateways ranked first for a bound.
+    /// The gateways with the highest ranks for a limit.
     pub fn ranked(&mut self, fleet: &Fleet, key: &Key) -> Rc<[String]> {
         if self.edition != fleet.edition() {
             self.edition = fleet.edition();
@@ -51,22 +52,23 @@
         ranked
     }
 
-    /// The gateway to ask, for one that misses these.
+    /// The owner for a gateway that can't reach the gateways in `missing`.
     pub fn home(&mut self, fleet: &Fleet, key: &Key, missing: &Missing) -> Option<String> {
         let ranked = self.ranked(fleet, key);
         ranked.iter().find(|name| !missing.contains(&gateway_number(name))).cloned()
     }
 
-    /// The part of a bound that the gateway `own` lends.
+    /// The share of a limit that the gateway `own` may grant.
     pub fn part(&mut self, fleet: &Fleet, key: &Key, own: &str, votes: &impl Votes) -> f64 {
         let ranked = self.ranked(fleet, key);
-        let Some(at) = ranked.iter().position(|name| name == own) else {
+        let Some(rank) = ranked.iter().position(|name| name == own) else {
             return 0.0;
         };
-        let before: Vec<u32> = ranked[..at].iter().map(|name| gateway_number(name)).collect();
+        let higher_ranked: Vec<u32> =
+            ranked[..rank].iter().map(|name| gateway_number(name)).collect();
         let own = gateway_number(own);
         let asks = |missing: &Missing| {
-            before.iter().all(|n| missing.contains(n)) && !missing.contains(&own)
+            higher_ranked.iter().all(|n| missing.contains(n)) && !missing.contains(&own)
         };
         let all = fleet.all();
         let count = all.keys().filter_map(|name| votes.missing(name)).filter(|m| asks(m)).count();
@@ -80,11 +82,11 @@
         .all()
         .iter()
         .map(|(name, gateway)| {
-            let drawn = (mix(seed ^ number(name)) >> 11) as f64 / (1_u64 << 53) as f64;
+            let sample = (mix(seed ^ number(name)) >> 11) as f64 / (1_u64 << 53) as f64;
             let power = f64::from(gateway.power.max(1));
-            (-drawn.max(f64::MIN_POSITIVE).ln() / power, name)
+            (-sample.max(f64::MIN_POSITIVE).ln() / power, name)
         })
         .collect();
     all.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.cmp(b.1)));
-    all.into_iter().take(RANKS).map(|(_, name)| name.clone()).collect()
+    all.into_iter().take(RANKED_MAX).map(|(_, name)| name.clone()).collect()
 }
--- a/crates/router/src/routes.rs
+++ b/crates/router/src/routes.rs
@@ -1,8 +1,8 @@
-//! Which route and service a request belongs to.
+//! Finds the route and the service of a request.
 
 use crate::catalog::{Config, Route};
 
-/// The route with the longest prefix that begins the path, among those of the host.
+/// Route of the host with the longest prefix of the path.
 pub fn find<'a>(config: &'a Config, host: &str, path: &str) -> Option<&'a Route> {
     let host = host.split(':').next().unwrap_or_default();
     config
@@ -12,13 +12,13 @@
         .max_by_key(|r| r.prefix.len())
 }
 
-/// The service that takes this request; `draw` is uniform in 0..1.
+/// Selects a service of the route by weight; `draw` is uniform in 0..1.
 pub fn service(route: &Route, draw: f64) -> Option<&str> {
     let total: u64 = route.split.iter().map(|s| u64::from(s.weight)).sum();
-    let mut left = draw * total as f64;
+    let mut remaining = draw * total as f64;
     for split in &route.split {
-        left -= f64::from(split.weight);
-        if left < 0.0 {
+        remaining -= f64::from(split.weight);
+        if remaining < 0.0 {
             return Some(&split.service);
         }
     }
--- a/crates/router/tests/accounts.rs
+++ b/crates/router/tests/accounts.rs
@@ -3,7 +3,7 @@
 use ebonyloft_core::config::Rate;
 use ebonyloft_core::ids::Digest;
 use ebonyloft_router::accounts::{
-    Account, Accounts, Credential, Identity, Quota, Size, Unit, WEIGHT_MAX, identify,
+    Account, Accounts, COST_MAX, Credential, Identity, Quota, Size, Unit, identify,
 };
 use proptest::prelude::*;
 
@@ -87,7 +87,7 @@
     #[test]
     fn a_weight_is_what_was_stated_or_none(stated in any::<u64>(), plain in 0_u64..1_000_000) {
         let weight = Unit::Tokens { plain }.weigh(Size::Tokens(stated));
-        prop_assert_eq!(weight, (stated <= WEIGHT_MAX).then_some(stated));
+        prop_assert_eq!(weight, (stated <= COST_MAX).then_some(stated));
     }
 
     #[test]
--- a/crates/router/tests/limits.rs
+++ b/crates/router/tests/limits.rs
@@ -4,10 +4,10 @@
 
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::ServerId;
-use ebonyloft_router::limits::{ENDS_AFTER, LIMIT_MIN, Limit, Named, ServerLimits};
+use ebonyloft_router::limits::{LIMIT_END_DELAY, LIMIT_MIN, Limit, Named, ServerLimits};
 use ebonyloft_router::quota::borrower::Borrower;
 use ebonyloft_router::quota::lender::{Lender, spare};
-use ebonyloft_router::quota::{Ask, Key, LOAN_LIFE, Reply};
+use ebonyloft_router::quota::{Ask, Key, LEASE_TTL, Reply};
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -50,7 +50,7 @@
     let mut limits = ServerLimits::default();
     limits.answered(at(100), &id(), at(90), FIVE);
     assert_eq!(limits.answered(at(110), &id(), at(95), None), None);
-    let late = at(100).after(ENDS_AFTER);
+    let late = at(100).after(LIMIT_END_DELAY);
     assert_eq!(limits.answered(late.after(Duration::from_millis(9)), &id(), late, None), {
         Some(word(2, None))
     });
@@ -166,7 +166,7 @@
             let (number, key) = (number as u64, Key::Server(id()));
             let ask = Ask { number, key, need, more, limit: Some(limit) };
             if let Reply::Lent(tokens) = lender.lend(at(now), &ask, &bound, 1.0, true) {
-                let used_at = now + later.min(LOAN_LIFE.as_millis() as u64);
+                let used_at = now + later.min(LEASE_TTL.as_millis() as u64);
                 used.extend((0..tokens).map(|_| used_at));
             }
         }
--- a/crates/router/tests/line.rs
+++ b/crates/router/tests/line.rs
@@ -10,7 +10,7 @@
 use ebonyloft_router::catalog::Server;
 use ebonyloft_router::line::{Line, Ticket, Turn};
 use ebonyloft_router::outcome::{Fate, Load};
-use ebonyloft_router::plain::{Plain, STUCK};
+use ebonyloft_router::plain::{Plain, STUCK_AFTER};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -302,7 +302,7 @@
 fn stuck_calls_leave_their_places() {
     let mut line = Line::default();
     busy(&mut line);
-    let now = NOW.after(STUCK);
+    let now = NOW.after(STUCK_AFTER);
     let ticket = line.join(now, now.after(GOAL), GOAL);
     assert_eq!(line.turn(now, ticket), Turn::Go);
 }
--- a/crates/router/tests/losses.rs
+++ b/crates/router/tests/losses.rs
@@ -6,7 +6,9 @@
 use ebonyloft_router::catalog::{Server, ServerId};
 use ebonyloft_router::content::Content;
 use ebonyloft_router::drift::Drift;
-use ebonyloft_router::losses::{ASK_GAP, CALL_WAIT, Found, LOSS_LIFE, Loss, Losses, STREAM_WAIT};
+use ebonyloft_router::losses::{
+    CALL_WAIT, Found, INVESTIGATION_TIMEOUT, Loss, Losses, PROBE_INTERVAL, STREAM_WAIT,
+};
 
 const NOW: Timestamp = Timestamp::from_millis(1_000_000);
 /// Time from a send to its loss.
@@ -109,14 +111,14 @@
     let mut losses = Losses::default();
     losses.lost(&server("a"), loss(1, NOW), STREAM_WAIT);
     let mut asked_at = Vec::new();
-    for step in 0..(LOSS_LIFE.as_millis() / 10) as u32 {
+    for step in 0..(INVESTIGATION_TIMEOUT.as_millis() / 10) as u32 {
         let now = NOW.after(Duration::from_millis(10) * step);
         if !asked(&mut losses, now).is_empty() {
             asked_at.push(now.since(NOW));
         }
     }
     assert!(asked_at[2] < Duration::from_millis(500), "{asked_at:?}");
-    assert!(asked_at.last() > Some(&(LOSS_LIFE / 2)), "{asked_at:?}");
+    assert!(asked_at.last() > Some(&(INVESTIGATION_TIMEOUT / 2)), "{asked_at:?}");
 }
 
 #[test]
@@ -136,10 +138,10 @@
     losses.lost(&server("a"), loss(1, NOW), STREAM_WAIT);
     let mut questions = 0;
     let mut now = NOW;
-    while now < NOW.after(LOSS_LIFE) {
+    while now < NOW.after(INVESTIGATION_TIMEOUT) {
         questions += asked(&mut losses, now).len();
         assert_eq!(losses.expire(now), []);
-        now = now.after(ASK_GAP / 3);
+        now = now.after(PROBE_INTERVAL / 3);
     }
     assert!(questions <= 10, "{questions}");
     assert_eq!(losses.expire(now), [(ServerId::new("a", 0), loss(1, NOW))]);
--- a/crates/router/tests/outcome.rs
+++ b/crates/router/tests/outcome.rs
@@ -1,7 +1,7 @@
 //! Verdicts: what a send's end says about whether the request may have run.
 
 use ebonyloft_core::verdict::Verdict;
-use ebonyloft_router::outcome::{Fate, MISSES_MAX, Progress, Reply};
+use ebonyloft_router::outcome::{Fate, Progress, REJECTIONS_MAX, Reply};
 
 fn reply(status: u16) -> Reply {
     Reply { status, attempt: Some("a".into()), stamped: true, ..Reply::default() }
@@ -57,7 +57,7 @@
 #[test]
 fn rejections_end_too() {
     let mut once = Progress::new(false, 1);
-    for _ in 0..MISSES_MAX {
+    for _ in 0..REJECTIONS_MAX {
         assert!(once.may_send());
         once.note(Fate::Rejected);
     }
--- a/crates/router/tests/patience.rs
+++ b/crates/router/tests/patience.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ebonyloft_core::time::Timestamp;
-use ebonyloft_router::patience::{PERIOD, Patience};
+use ebonyloft_router::patience::{HISTORY_PERIOD, Patience};
 
 const NOW: Timestamp = Timestamp::from_millis(100_000);
 const TIMEOUT: Duration = Duration::from_secs(14);
@@ -51,7 +51,7 @@
     patience.spent(NOW, "r", TIMEOUT, ms(14_000));
     let mut at = NOW;
     for _ in 0..2 {
-        at = at.after(PERIOD).after(ms(1));
+        at = at.after(HISTORY_PERIOD).after(ms(1));
         patience.spent(at, "r", TIMEOUT, ms(8_000));
     }
     assert_eq!(patience.spent(at, "r", TIMEOUT, ms(7_500)), Duration::ZERO);
--- a/crates/router/tests/pauses.rs
+++ b/crates/router/tests/pauses.rs
@@ -5,7 +5,7 @@
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::ServerId;
 use ebonyloft_router::outcome::Pause;
-use ebonyloft_router::pauses::{PAUSE_MAX, PAUSE_UNREADABLE, Pauses, soonest};
+use ebonyloft_router::pauses::{BACK_OFF_DEFAULT, BACK_OFF_MAX, Pauses, soonest};
 
 const NOW: Timestamp = Timestamp::from_millis(1_000_000);
 const SECOND: Duration = Duration::from_secs(1);
@@ -32,9 +32,9 @@
 fn nonsense_is_bounded() {
     let mut pauses = Pauses::default();
     let year = Pause::For(SECOND * 31_536_000);
-    assert_eq!(pauses.note(NOW, &id("a"), year), (NOW.after(PAUSE_MAX), false));
+    assert_eq!(pauses.note(NOW, &id("a"), year), (NOW.after(BACK_OFF_MAX), false));
     let (until, as_said) = pauses.note(NOW, &id("b"), Pause::Unreadable);
-    assert_eq!((until, as_said), (NOW.after(PAUSE_UNREADABLE), false));
+    assert_eq!((until, as_said), (NOW.after(BACK_OFF_DEFAULT), false));
     pauses.note(NOW, &id("c"), Pause::For(Duration::ZERO));
     assert!(pauses.is_open(NOW, &id("c")));
 }
--- a/crates/router/tests/quarantine.rs
+++ b/crates/router/tests/quarantine.rs
@@ -6,8 +6,8 @@
 use ebonyloft_router::catalog::ServerId;
 use ebonyloft_router::content::Content;
 use ebonyloft_router::quarantine::{
-    Change, Fact, PROVED_LIFE, PROVED_MAX, Quarantine, SOUND_LIFE, SUSPECT_LIFE, SUSPECTS_MAX,
-    Standing, TRIAL_LIFE, Word,
+    CONFIRMED_MAX, Change, Fact, HEALTHY_TTL, PROBE_TIMEOUT, PROVED_LIFE, Quarantine, SUSPECT_LIFE,
+    SUSPECTS_MAX, Standing, Word,
 };
 use proptest::prelude::*;
 
@@ -62,11 +62,11 @@
 fn a_suspect_is_tried_by_one_at_a_time() {
     let mut all = Quarantine::default();
     told(&mut all, &[ended("a", true), Fact::Trying(1)]);
-    assert_eq!(all.standing(NOW, &BAD), Standing::Held(NOW.after(TRIAL_LIFE)));
+    assert_eq!(all.standing(NOW, &BAD), Standing::Held(NOW.after(PROBE_TIMEOUT)));
     told(&mut all, &[Fact::Over(1)]);
     assert_eq!(all.standing(NOW, &BAD), Standing::Suspect);
     told(&mut all, &[Fact::Trying(2)]);
-    assert_eq!(all.standing(NOW.after(TRIAL_LIFE), &BAD), Standing::Suspect, "its end was lost");
+    assert_eq!(all.standing(NOW.after(PROBE_TIMEOUT), &BAD), Standing::Suspect, "its end was lost");
 }
 
 #[test]
@@ -109,10 +109,10 @@
 fn what_was_answered_lately_is_sound() {
     let mut all = Quarantine::default();
     assert!(!all.served_here(NOW, BAD), "nobody needs to hear of it");
-    assert!(all.is_sound(NOW.after(SOUND_LIFE / 2), &BAD));
-    assert!(!all.is_sound(NOW.after(SOUND_LIFE), &BAD));
+    assert!(all.is_sound(NOW.after(HEALTHY_TTL / 2), &BAD));
+    assert!(!all.is_sound(NOW.after(HEALTHY_TTL), &BAD));
     // It was answered after the loss.
-    assert!(all.is_sound(NOW.before(SOUND_LIFE * 2), &BAD));
+    assert!(all.is_sound(NOW.before(HEALTHY_TTL * 2), &BAD));
     told(&mut all, &[ended("a", true)]);
     assert!(all.served_here(NOW, BAD));
     for n in 0..100_000 {
@@ -165,7 +165,7 @@
     for n in 0..20_000 {
         all.take(NOW, &word(Content(n, 3), Fact::Proved));
     }
-    assert!(all.counts().1 <= PROVED_MAX, "{}", all.counts().1);
+    assert!(all.counts().1 <= CONFIRMED_MAX, "{}", all.counts().1);
 }
 
 fn facts() -> impl Strategy<Value = Fact> {
@@ -187,7 +187,7 @@
         one in proptest::collection::vec((0_u64..3, 0_u64..5_000, facts()), 0..24),
         other in proptest::collection::vec((0_u64..3, 0_u64..5_000, facts()), 0..24),
     ) {
-        let later = NOW.after(TRIAL_LIFE * 3);
+        let later = NOW.after(PROBE_TIMEOUT * 3);
         let hear = |facts: &[(u64, u64, Fact)]| {
             let mut all = Quarantine::default();
             for (content, age, fact) in facts {
--- a/crates/router/tests/quota.rs
+++ b/crates/router/tests/quota.rs
@@ -11,7 +11,7 @@
 use ebonyloft_router::quota::borrower::Borrower;
 use ebonyloft_router::quota::homes::{Homes, Missing, Votes, gateway_number};
 use ebonyloft_router::quota::lender::{Lender, spare};
-use ebonyloft_router::quota::{Ask, Key, LOAN_LIFE, Reply};
+use ebonyloft_router::quota::{Ask, Key, LEASE_TTL, Reply};
 
 const BOUND: Rate = Rate { rate: 1_000.0, burst: 1_000.0 };
 
@@ -236,7 +236,7 @@
     assert!(!borrower.take(at(10), &account, 60));
     assert!(borrower.take(at(10), &account, 40));
     borrower.lent(&account, at(100), 100);
-    assert!(!borrower.take(at(100).after(LOAN_LIFE), &account, 1));
+    assert!(!borrower.take(at(100).after(LEASE_TTL), &account, 1));
 }
 
 #[test]
