--- a/crates/router/benches/accounts.rs
+++ b/crates/router/benches/accounts.rs
@@ -35,7 +35,7 @@
     fleet
 }
 
-fn look_up(c: &mut Criterion) {
+fn look_up_key(c: &mut Criterion) {
     let all = accounts(18_000);
     let key = Digest::of(b"9000b");
     c.bench_function("key of 36,000", |b| b.iter(|| black_box(&all).of_key(black_box(&key))));
@@ -44,7 +44,7 @@
     });
 }
 
-fn decide(c: &mut Criterion) {
+fn decide_quota(c: &mut Criterion) {
     let (fleet, account) = (fleet(410), Key::account("account-7"));
     let bound = Rate { rate: 1e12, burst: 1e12 };
     let now = Timestamp::from_millis(60_000);
@@ -71,5 +71,5 @@
     });
 }
 
-criterion_group!(benches, look_up, decide);
+criterion_group!(benches, look_up_key, decide_quota);
 criterion_main!(benches);
--- a/crates/router/tests/accounts.rs
+++ b/crates/router/tests/accounts.rs
@@ -1,4 +1,4 @@
-//! Client accounts: whose key it is, who asks, and what a request weighs.
+//! Client accounts: lookup by key, identification of callers, and the cost of requests.
 
 use ebonyloft_core::config::Rate;
 use ebonyloft_core::ids::Digest;
@@ -16,11 +16,11 @@
     Account { name: name.into(), keys, ..Account::default() }
 }
 
-fn two() -> Accounts {
+fn two_accounts() -> Accounts {
     vec![account("one", &[1, 2]), account("two", &[3])].into()
 }
 
-fn named<'a>(identity: Identity<'a>) -> Option<&'a str> {
+fn account_name<'a>(identity: Identity<'a>) -> Option<&'a str> {
     match identity {
         Identity::Account(account) => Some(account.name.as_str()),
         _ => None,
@@ -29,52 +29,55 @@
 
 #[test]
 fn a_key_belongs_to_the_account_that_holds_it() {
-    let accounts = two();
+    let accounts = two_accounts();
     assert_eq!(accounts.of_key(&key(2)).map(|a| a.name.as_str()), Some("one"));
     assert_eq!(accounts.of_key(&key(3)).map(|a| a.name.as_str()), Some("two"));
     assert!(accounts.of_key(&key(4)).is_none());
 }
 
 #[test]
-fn digests_that_begin_alike_are_told_apart() {
-    let alike = |last: u8| {
+fn digests_with_a_common_prefix_are_distinguished() {
+    let digest_ending_in = |last: u8| {
         let mut bytes = [7; 32];
         bytes[31] = last;
         Digest(bytes)
     };
-    let holds =
+    let account_with_key =
         |name: &str, key| Account { name: name.into(), keys: vec![key], ..Account::default() };
-    let accounts = Accounts::from(vec![holds("a", alike(1)), holds("b", alike(2))]);
-    assert_eq!(accounts.of_key(&alike(2)).map(|a| a.name.as_str()), Some("b"));
-    assert!(accounts.of_key(&alike(3)).is_none());
+    let accounts = Accounts::from(vec![
+        account_with_key("a", digest_ending_in(1)),
+        account_with_key("b", digest_ending_in(2)),
+    ]);
+    assert_eq!(accounts.of_key(&digest_ending_in(2)).map(|a| a.name.as_str()), Some("b"));
+    assert!(accounts.of_key(&digest_ending_in(3)).is_none());
 }
 
 #[test]
-fn who_asks() {
-    let accounts = two();
+fn callers_are_identified_by_their_credential() {
+    let accounts = two_accounts();
     let ask = |accounts, public, credential| identify(accounts, public, &credential);
     let all = Some(&accounts);
     assert_eq!(ask(None, false, Credential::Absent), Identity::Anyone);
     assert_eq!(ask(all, false, Credential::Absent), Identity::Unidentified);
     assert_eq!(ask(all, false, Credential::Malformed), Identity::Unidentified);
     assert_eq!(ask(all, false, Credential::Key(key(4))), Identity::Unknown);
-    assert_eq!(named(ask(all, false, Credential::Key(key(1)))), Some("one"));
+    assert_eq!(account_name(ask(all, false, Credential::Key(key(1)))), Some("one"));
     assert_eq!(ask(all, true, Credential::Absent), Identity::Anyone);
     assert_eq!(ask(all, true, Credential::Key(key(4))), Identity::Anyone);
-    assert_eq!(named(ask(all, true, Credential::Key(key(3)))), Some("two"));
+    assert_eq!(account_name(ask(all, true, Credential::Key(key(3)))), Some("two"));
 }
 
 #[test]
-fn accounts_are_found_by_key_after_they_were_passed_on() {
+fn decoded_accounts_are_found_by_key() {
     let mut bytes = Vec::new();
-    ciborium::into_writer(&two(), &mut bytes).expect("encoded");
-    let passed: Accounts = ciborium::from_reader(&bytes[..]).expect("decoded");
-    assert_eq!(passed, two());
-    assert_eq!(passed.of_key(&key(3)).map(|a| a.name.as_str()), Some("two"));
+    ciborium::into_writer(&two_accounts(), &mut bytes).expect("encoded");
+    let decoded: Accounts = ciborium::from_reader(&bytes[..]).expect("decoded");
+    assert_eq!(decoded, two_accounts());
+    assert_eq!(decoded.of_key(&key(3)).map(|a| a.name.as_str()), Some("two"));
 }
 
 #[test]
-fn what_a_request_weighs() {
+fn cost_of_a_request() {
     let tokens = Unit::Tokens { plain: 200 };
     assert_eq!(tokens.weigh(Size::Tokens(5_072)), Some(5_072));
     assert_eq!(tokens.weigh(Size::Unstated), Some(200));
@@ -85,9 +88,9 @@
 
 proptest! {
     #[test]
-    fn a_weight_is_what_was_stated_or_none(stated in any::<u64>(), plain in 0_u64..1_000_000) {
-        let weight = Unit::Tokens { plain }.weigh(Size::Tokens(stated));
-        prop_assert_eq!(weight, (stated <= COST_MAX).then_some(stated));
+    fn the_cost_is_the_stated_size_or_none(stated in any::<u64>(), plain in 0_u64..1_000_000) {
+        let cost = Unit::Tokens { plain }.weigh(Size::Tokens(stated));
+        prop_assert_eq!(cost, (stated <= COST_MAX).then_some(stated));
     }
 
     #[test]
--- a/crates/router/tests/budget.rs
+++ b/crates/router/tests/budget.rs
@@ -1,4 +1,4 @@
-//! The budget of extra arrivals: the sum over all entries keeps the bound over any window.
+//! The retry budget: all gateways together keep the bound over any window.
 
 use std::time::Duration;
 
@@ -22,8 +22,8 @@
     }
 }
 
-/// Takes one extra arrival that takes place at once.
-fn spend(budget: &mut Budget, now: Timestamp, entries: usize) -> bool {
+/// Reserves and commits one retry.
+fn try_retry(budget: &mut Budget, now: Timestamp, entries: usize) -> bool {
     let granted = budget.hold(now, &bounds(), entries, Lack::Sure(1));
     if granted {
         budget.spend(now);
@@ -32,13 +32,14 @@
 }
 
 #[test]
-fn a_process_that_just_started_spends_little() {
-    // Its predecessor may have spent the whole window's part a moment ago.
+fn a_process_that_just_started_has_a_small_budget() {
+    // The previous process may have used its whole share of the window a moment ago.
     let start = Timestamp::from_millis(1_000_000);
     let mut budget = Budget::new(start);
-    let spent =
-        (0..100).filter(|_| spend(&mut budget, start.after(Duration::from_millis(50)), 1)).count();
-    // A fifth of 54: what its predecessor left unused.
+    let spent = (0..100)
+        .filter(|_| try_retry(&mut budget, start.after(Duration::from_millis(50)), 1))
+        .count();
+    // A fifth of 54: the part of the bound that the previous process leaves unused.
     assert_eq!(spent, 11);
 }
 
@@ -50,28 +51,28 @@
     for _ in 0..1_000 {
         budget.earn(now, &bounds());
     }
-    let spent = (0..1_000).filter(|_| spend(&mut budget, now, 4)).count();
-    // 0.8 of a fifth of the requests, and of three quarters of a quarter of 54.
+    let spent = (0..1_000).filter(|_| try_retry(&mut budget, now, 4)).count();
+    // 0.8 of a fifth of the requests, plus 0.8 of three quarters of a quarter of 54.
     assert_eq!(spent, 168);
 }
 
 #[test]
-fn what_was_spent_comes_back_after_the_window() {
+fn the_budget_recovers_after_the_window() {
     let mut budget = Budget::new(Timestamp(0));
     let now = Timestamp::from_millis(20_000);
-    while spend(&mut budget, now, 1) {}
-    assert!(!spend(&mut budget, now.after(Duration::from_secs(9)), 1));
-    assert!(spend(&mut budget, now.after(Duration::from_secs(11)), 1));
+    while try_retry(&mut budget, now, 1) {}
+    assert!(!try_retry(&mut budget, now.after(Duration::from_secs(9)), 1));
+    assert!(try_retry(&mut budget, now.after(Duration::from_secs(11)), 1));
 }
 
 #[test]
-fn a_first_prompt_that_is_lost_makes_the_run_an_extra_arrival() {
+fn a_lost_first_prompt_makes_the_run_a_retry() {
     let mut arrivals = Arrivals::default();
     assert_eq!(arrivals.lacks(Next::Run), None);
     assert_eq!(arrivals.lacks(Next::Prompt), Some(Lack::Unlikely));
     arrivals.take(Lack::Unlikely);
     assert!(!arrivals.send());
-    // Lost: the run behind it is covered, another prompt is not.
+    // After the loss the following run is covered, another prompt is not.
     assert_eq!(arrivals.lacks(Next::Run), None);
     assert_eq!(arrivals.lacks(Next::Prompt), Some(Lack::Sure(1)));
     assert!(arrivals.send());
@@ -79,7 +80,7 @@
 }
 
 #[test]
-fn a_first_prompt_that_is_accepted_costs_nothing() {
+fn an_accepted_first_prompt_is_no_retry() {
     let mut arrivals = Arrivals::default();
     arrivals.take(Lack::Unlikely);
     assert!(!arrivals.send());
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn a_second_prompt_that_is_accepted_costs_one() {
+fn an_accepted_second_prompt_is_one_retry() {
     let mut arrivals = Arrivals::default();
     arrivals.take(Lack::Unlikely);
     arrivals.send();
@@ -106,7 +107,7 @@
 }
 
 #[test]
-fn a_send_that_reached_nobody_is_held_again() {
+fn an_undelivered_send_is_reserved_again() {
     let (now, mut budget) = (Timestamp::from_millis(20_000), Budget::new(Timestamp(0)));
     let left = budget.left(now, &bounds(), 1);
     assert!(budget.hold(now, &bounds(), 1, Lack::Sure(2)));
@@ -117,71 +118,74 @@
     assert_eq!(budget.left(now, &bounds(), 1), left);
 }
 
-/// How a played send ends.
+/// How a simulated send ends.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum SendResult {
     Accepted,
     Lost,
     Unsent,
 }
 
-/// Plays one request; gives its extra arrivals as a judge counts them, and what it took from the budget.
-fn play(budget: &mut Budget, now: Timestamp, sends: &[(Next, Fate)]) -> (usize, usize) {
+/// Simulates one request; returns its retries by independent count, and the retries taken from the budget.
+fn simulate(budget: &mut Budget, now: Timestamp, sends: &[(Next, SendResult)]) -> (usize, usize) {
     let before = budget.counts().1;
     let mut arrivals = Arrivals::default();
-    let (mut counted, mut read) = (0_usize, false);
-    for (next, fate) in sends {
-        if let Some(lack) = arrivals.lacks(*next) {
-            if !budget.hold(now, &bounds(), 4, lack) {
+    let (mut counted, mut prompt_accepted) = (0_usize, false);
+    for (next, result) in sends {
+        if let Some(required) = arrivals.lacks(*next) {
+            if !budget.hold(now, &bounds(), 4, required) {
                 continue;
             }
-            arrivals.take(lack);
+            arrivals.take(required);
         }
         if arrivals.send() {
             budget.spend(now);
         }
-        let free = *next == Next::Prompt && !read;
-        match (fate, next) {
-            (Fate::Unsent, _) => {
+        let uncounted = *next == Next::Prompt && !prompt_accepted;
+        match (result, next) {
+            (SendResult::Unsent, _) => {
                 if arrivals.unsend() {
                     budget.take_back();
                 }
             }
-            (Fate::Accepted, Next::Prompt) => {
-                counted += usize::from(!free);
-                read = true;
+            (SendResult::Accepted, Next::Prompt) => {
+                counted += usize::from(!uncounted);
+                prompt_accepted = true;
                 if arrivals.accept() {
                     budget.take_back();
                 }
                 budget.release(arrivals.spare());
             }
-            (Fate::Accepted, Next::Run) => {
+            (SendResult::Accepted, Next::Run) => {
                 counted += 1;
                 break;
             }
-            (Fate::Lost, _) => counted += 1,
+            (SendResult::Lost, _) => counted += 1,
         }
     }
     budget.release(arrivals.close());
     (counted.saturating_sub(1), budget.counts().1 - before)
 }
 
-/// An entry among many has less than a whole extra arrival before its first requests.
+/// One of many gateways has less than one whole retry available before its first requests.
 #[test]
-fn a_first_prompt_is_sent_while_anything_is_left() {
+fn a_first_prompt_needs_less_than_one_whole_retry() {
     let (now, mut budget) = (Timestamp::from_millis(20_000), Budget::new(Timestamp(0)));
     assert!(budget.left(now, &bounds(), 200) < 1.0);
     assert!(!budget.hold(now, &bounds(), 200, Lack::Sure(1)));
     assert!(budget.hold(now, &bounds(), 200, Lack::Unlikely));
-    assert!(!budget.hold(now, &bounds(), 200, Lack::Unlikely), "the first one is not over");
+    assert!(
+        !budget.hold(now, &bounds(), 200, Lack::Unlikely),
+        "the first reservation is still held"
+    );
     budget.spend(now);
-    assert!(!budget.hold(now, &bounds(), 200, Lack::Unlikely), "the first one was lost");
+    assert!(!budget.hold(now, &bounds(), 200, Lack::Unlikely), "the first retry is committed");
 }
 
 proptest! {
-    /// Whatever becomes of prompts and runs, what is taken from the budget is what a judge counts.
+    /// However prompts and runs end, the retries taken from the budget equal an independent count.
     #[test]
-    fn extra_arrivals_are_counted_as_a_judge_counts_them(
+    fn retries_equal_an_independent_count(
         requests in proptest::collection::vec(
             proptest::collection::vec((0_u8..2, 0_u8..3), 1..8), 1..60),
     ) {
@@ -189,43 +193,43 @@
         let mut budget = Budget::new(Timestamp(0));
         for sends in requests {
             budget.earn(now, &bounds());
-            let sends: Vec<(Next, Fate)> = sends
+            let sends: Vec<(Next, SendResult)> = sends
                 .into_iter()
-                .map(|(next, fate)| {
+                .map(|(next, result)| {
                     let next = [Next::Prompt, Next::Run][usize::from(next)];
-                    (next, [Fate::Accepted, Fate::Lost, Fate::Unsent][usize::from(fate)])
+                    (next, [SendResult::Accepted, SendResult::Lost, SendResult::Unsent][usize::from(result)])
                 })
                 .collect();
-            let (counted, taken) = play(&mut budget, now, &sends);
-            prop_assert_eq!(counted, taken, "{:?}", sends);
+            let (counted, charged) = simulate(&mut budget, now, &sends);
+            prop_assert_eq!(counted, charged, "{:?}", sends);
             prop_assert_eq!(budget.counts().2, 0);
         }
     }
 
-    /// Four entries that spend whatever they can, under any pattern of requests, keep the bound over
-    /// any window of the judge, who counts requests of that window only.
+    /// Four gateways that use every retry they can, under any pattern of requests, keep the bound over any
+    /// window, where only requests of that window count.
     #[test]
-    fn entries_together_keep_the_bound(
+    fn gateways_together_keep_the_bound(
         ticks in proptest::collection::vec((0_usize..4, 0_u32..4, 0_u32..6), 1..400),
     ) {
         let bounds = bounds();
         let start = Timestamp::from_millis(0);
         let mut budgets = vec![Budget::new(start); 4];
-        let (mut requests, mut extras) = (Vec::new(), Vec::new());
-        for (i, (entry, came, wanted)) in ticks.iter().enumerate() {
+        let (mut requests, mut retries) = (Vec::new(), Vec::new());
+        for (i, (gateway, arrived, wanted)) in ticks.iter().enumerate() {
             let now = start.after(Duration::from_millis(10_000 + 37 * i as u64));
-            for _ in 0..*came {
-                budgets[*entry].earn(now, &bounds);
+            for _ in 0..*arrived {
+                budgets[*gateway].earn(now, &bounds);
                 requests.push(now);
             }
             for _ in 0..*wanted {
-                if spend(&mut budgets[*entry], now, 4) {
-                    extras.push(now);
+                if try_retry(&mut budgets[*gateway], now, 4) {
+                    retries.push(now);
                 }
             }
             let since = now.before(bounds.budget_window);
             let asked = requests.iter().filter(|at| **at >= since).count() as f64;
-            let spent = extras.iter().filter(|at| **at >= since).count() as f64;
+            let spent = retries.iter().filter(|at| **at >= since).count() as f64;
             prop_assert!(spent <= bounds.budget_ratio * asked + bounds.budget_extra);
         }
     }
--- a/crates/router/tests/comeback.rs
+++ b/crates/router/tests/comeback.rs
@@ -1,4 +1,4 @@
-//! When callers are asked to come back to a process that knows nothing yet.
+//! Retry-after of a gateway that has no configuration yet.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
 const LEFT: Duration = Duration::from_secs(14);
 
 #[test]
-fn a_store_that_answers_is_known_soon() {
+fn the_wait_is_short_while_the_store_answers() {
     assert_eq!(wait(Some(LEFT), false, 0.9), SOON);
     assert_eq!(wait(None, false, 0.9), SOON);
 }
 
-/// A wait beyond a third of the time left is not followed.
+/// Callers don't follow a retry-after beyond a third of their remaining time.
 #[test]
-fn callers_wait_for_a_store_that_is_away_as_long_as_they_can() {
+fn callers_wait_as_long_as_they_can_while_the_store_is_unavailable() {
     for draw in [0.0, 0.5, 1.0] {
         let asked = wait(Some(LEFT), true, draw);
         assert!(asked > Duration::from_secs(3) && asked < LEFT / 3, "{asked:?}");
@@ -23,15 +23,16 @@
     }
 }
 
-/// Plays callers of an outage of two seconds after the loss of all processes, who come back once, as the
-/// users' do: of 100 with 14 s to go 25 are served when they wait half a second, all when they wait for
-/// the store.
+/// Simulates an outage of two seconds after the loss of all processes, with callers that retry once and have
+/// 14 s left: 25 of 100 are served when they wait half a second, all when they wait for the store.
 #[test]
-fn callers_of_an_outage_are_served_when_they_return() {
+fn callers_that_wait_for_the_store_are_served() {
     let outage = Duration::from_secs(2);
-    let served = |away: bool| {
+    let served = |store_down: bool| {
         let callers = (0..100).map(|n| outage.mul_f64(f64::from(n) / 100.0));
-        callers.filter(|came| *came + wait(Some(LEFT), away, 0.5) >= outage).count()
+        callers
+            .filter(|arrived_at| *arrived_at + wait(Some(LEFT), store_down, 0.5) >= outage)
+            .count()
     };
     assert_eq!((served(false), served(true)), (25, 100));
 }
--- a/crates/router/tests/events.rs
+++ b/crates/router/tests/events.rs
@@ -1,4 +1,4 @@
-//! Whole events from bytes that are cut anywhere.
+//! Complete events from bytes that are cut at any position.
 
 use ebonyloft_router::events::Splitter;
 use proptest::prelude::*;
@@ -9,39 +9,40 @@
 
 proptest! {
     #[test]
-    fn pieces_of_any_size_give_the_same_stream(cuts in proptest::collection::vec(1_usize..40, 1..60)) {
-        let whole = stream(1..20);
+    fn chunks_of_any_size_give_the_same_stream(cuts in proptest::collection::vec(1_usize..40, 1..60)) {
+        let expected = stream(1..20);
         let mut splitter = Splitter::default();
         let (mut out, mut at) = (Vec::new(), 0);
         for cut in cuts.iter().cycle() {
-            let end = (at + cut).min(whole.len());
-            out.extend(splitter.push(&whole[at..end]));
+            let end = (at + cut).min(expected.len());
+            out.extend(splitter.push(&expected[at..end]));
             at = end;
-            if at == whole.len() {
+            if at == expected.len() {
                 break;
             }
         }
-        prop_assert_eq!(out, whole);
+        prop_assert_eq!(out, expected);
         prop_assert_eq!(splitter.last(), Some(19));
         prop_assert!(!splitter.is_partial());
     }
 
-    /// Broken off anywhere, and gone on with by a server that repeats some events: each comes once.
+    /// A stream breaks off anywhere, and another server resumes it and repeats some events: each event is
+    /// passed on once.
     #[test]
-    fn a_stream_that_goes_on_elsewhere_is_whole(cut in 0_usize..300, back in 0_u64..4) {
-        let whole = stream(1..15);
-        let cut = cut.min(whole.len());
+    fn a_stream_resumed_by_another_server_is_complete(cut in 0_usize..300, repeated in 0_u64..4) {
+        let expected = stream(1..15);
+        let cut = cut.min(expected.len());
         let mut splitter = Splitter::default();
-        let mut out = splitter.push(&whole[..cut]);
+        let mut out = splitter.push(&expected[..cut]);
         splitter.restart();
         let next = splitter.last().map_or(1, |l| l + 1);
-        out.extend(splitter.push(&stream(next.saturating_sub(back).max(1)..15)));
-        prop_assert_eq!(out, whole);
+        out.extend(splitter.push(&stream(next.saturating_sub(repeated).max(1)..15)));
+        prop_assert_eq!(out, expected);
     }
 }
 
 #[test]
-fn a_part_of_an_event_is_held_back() {
+fn an_incomplete_event_is_not_passed_on() {
     let mut splitter = Splitter::default();
     assert!(splitter.push(b"id: 1\ndata: x\n").is_empty());
     assert!(splitter.is_partial());
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn a_caller_who_resumes_gets_nothing_twice() {
+fn a_resuming_caller_gets_no_event_twice() {
     let mut splitter = Splitter::behind(Some(3));
     assert_eq!(splitter.push(&stream(1..6)), stream(4..6));
 }
--- a/crates/router/tests/line.rs
+++ b/crates/router/tests/line.rs
@@ -1,4 +1,5 @@
-//! A plain service over its capacity, played: what callers get with and without a line at each entry.
+//! Simulates a plain service above its capacity: calls in time with and without an admission queue at each
+//! gateway.
 
 #[path = "support/fleet.rs"]
 mod fleet;
@@ -18,15 +19,15 @@
 
 const SLOTS: usize = 6;
 const QUEUE: usize = 24;
-const ENTRIES: usize = 32;
+const GATEWAYS: usize = 32;
 const GOAL: Duration = Duration::from_millis(300);
-/// Mean time of a call, in seconds.
+/// Mean work of a call in seconds.
 const WORK: f64 = 0.06;
-/// Calls a second of a calm load; five servers carry 500.
+/// Calls per second under normal load; the capacity of five servers is 500.
 const RATE: f64 = 246.0;
 const STEP: Duration = Duration::from_millis(2);
 const STEPS: u64 = 5_000;
-/// Arrivals of one step at most.
+/// Most arrivals per step.
 const DRAWS: u32 = 8;
 
 fn at(step: u64) -> Timestamp {
@@ -34,22 +35,22 @@
 }
 
 #[derive(Clone, Copy)]
-struct Plan {
-    /// How many times the rate, from second 2 to 8.
+struct Scenario {
+    /// Factor of the rate from second 2 to 8.
     burst: f64,
     /// A server is lost from second 4 on.
-    lost: bool,
-    /// Entries keep a line; else every call is sent at once, to three servers at most.
-    line: bool,
+    server_lost: bool,
+    /// Gateways use an admission queue; otherwise each call is sent at once, to at most three servers.
+    queue: bool,
 }
 
 #[derive(Clone, Copy)]
 struct Call {
-    entry: usize,
+    gateway: usize,
     goal: Timestamp,
-    again: bool,
+    is_retry: bool,
     work: f64,
-    misses: u32,
+    rejections: u32,
 }
 
 #[derive(Default)]
@@ -58,112 +59,112 @@
     queue: VecDeque<(Timestamp, Call)>,
 }
 
-struct World {
-    plan: Plan,
+struct Simulation {
+    scenario: Scenario,
     rng: ChaCha8Rng,
     now: Timestamp,
     servers: Vec<Server>,
     backends: Vec<Backend>,
     plain: Vec<Plain>,
-    lines: Vec<Line>,
+    queues: Vec<Line>,
     waiting: Vec<(Ticket, Call)>,
-    /// Callers who come back.
-    back: Vec<(Timestamp, Call)>,
+    /// Calls to be retried, with the time of the retry.
+    retries: Vec<(Timestamp, Call)>,
     asked: u32,
     in_time: u32,
 }
 
-impl World {
-    fn new(plan: Plan, seed: u64) -> Self {
-        World {
-            plan,
+impl Simulation {
+    fn new(scenario: Scenario, seed: u64) -> Self {
+        Simulation {
+            scenario,
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: at(0),
             servers: (0..5).map(|i| server(i, SLOTS as u32, None)).collect(),
             backends: (0..5).map(|_| Backend::default()).collect(),
-            plain: vec![Plain::default(); ENTRIES],
-            lines: vec![Line::default(); ENTRIES],
+            plain: vec![Plain::default(); GATEWAYS],
+            queues: vec![Line::default(); GATEWAYS],
             waiting: Vec::new(),
-            back: Vec::new(),
+            retries: Vec::new(),
             asked: 0,
             in_time: 0,
         }
     }
 
     fn alive(&self) -> usize {
-        let lost = self.plan.lost && self.now > at(2_000);
-        self.servers.len() - usize::from(lost)
+        let server_lost = self.scenario.server_lost && self.now > at(2_000);
+        self.servers.len() - usize::from(server_lost)
     }
 
     fn step(&mut self, step: u64) {
         self.now = at(step);
-        let burst = if (1_000..4_000).contains(&step) { self.plan.burst } else { 1.0 };
+        let burst = if (1_000..4_000).contains(&step) { self.scenario.burst } else { 1.0 };
         for _ in 0..DRAWS {
             if self.rng.random::<f64>() < RATE * burst * STEP.as_secs_f64() / f64::from(DRAWS) {
                 let call = self.call();
                 self.asked += 1;
-                self.come(call);
+                self.arrive(call);
             }
         }
         let now = self.now;
-        let due: Vec<Call> = self.back.extract_if(.., |b| b.0 <= now).map(|b| b.1).collect();
+        let due: Vec<Call> = self.retries.extract_if(.., |b| b.0 <= now).map(|b| b.1).collect();
         for call in due {
-            self.come(call);
+            self.arrive(call);
         }
         self.serve();
-        self.advance_lines();
+        self.advance_queues();
     }
 
     fn call(&mut self) -> Call {
         let normal: f64 = (0..12).map(|_| self.rng.random::<f64>()).sum::<f64>() - 6.0;
         let work = WORK * (0.5 * normal - 0.125).exp();
-        let entry = self.rng.random_range(0..ENTRIES);
+        let gateway = self.rng.random_range(0..GATEWAYS);
         let goal = self.now.after(GOAL);
-        Call { entry, goal, again: false, work, misses: 0 }
+        Call { gateway, goal, is_retry: false, work, rejections: 0 }
     }
 
-    fn come(&mut self, call: Call) {
-        if !self.plan.line {
+    fn arrive(&mut self, call: Call) {
+        if !self.scenario.queue {
             return self.send(call);
         }
-        let ticket = self.lines[call.entry].join(self.now, self.now.after(GOAL), GOAL);
+        let ticket = self.queues[call.gateway].join(self.now, self.now.after(GOAL), GOAL);
         self.waiting.push((ticket, call));
     }
 
-    fn advance_lines(&mut self) {
+    fn advance_queues(&mut self) {
         for (ticket, call) in std::mem::take(&mut self.waiting) {
-            match self.lines[call.entry].turn(self.now, ticket) {
+            match self.queues[call.gateway].turn(self.now, ticket) {
                 Turn::Wait(_) => self.waiting.push((ticket, call)),
                 Turn::Go => {
-                    self.lines[call.entry].leave(ticket);
+                    self.queues[call.gateway].leave(ticket);
                     self.send(call);
                 }
                 Turn::Refuse => {
-                    self.lines[call.entry].leave(ticket);
+                    self.queues[call.gateway].leave(ticket);
                     self.refuse(call);
                 }
             }
         }
     }
 
-    /// Its caller comes back once.
+    /// Refuses a call; its caller retries once.
     fn refuse(&mut self, call: Call) {
-        if !call.again {
+        if !call.is_retry {
             let pause = GOAL.mul_f64(0.25 * (1.0 + self.rng.random::<f64>()));
-            let call = Call { again: true, misses: 0, ..call };
-            self.back.push((self.now.after(pause), call));
+            let call = Call { is_retry: true, rejections: 0, ..call };
+            self.retries.push((self.now.after(pause), call));
         }
     }
 
     fn send(&mut self, call: Call) {
         let alive = self.alive();
         let rng = &mut self.rng;
-        let plain = &mut self.plain[call.entry];
+        let plain = &mut self.plain[call.gateway];
         let picked = plain.pick(self.now, "z", self.servers[..alive].iter(), &[], || rng.random());
-        let id = picked.expect("a server").id.clone();
-        let i = self.servers.iter().position(|s| s.id == id).expect("it is of the list");
+        let id = picked.expect("at least one server").id.clone();
+        let i = self.servers.iter().position(|s| s.id == id).expect("the server is in the list");
         plain.sent(self.now, &id);
-        self.lines[call.entry].sent(self.now);
+        self.queues[call.gateway].sent(self.now);
         let backend = &mut self.backends[i];
         if backend.running.len() < SLOTS {
             let end = self.now.after(Duration::from_secs_f64(call.work));
@@ -172,9 +173,11 @@
             backend.queue.push_back((self.now, call));
         } else {
             plain.ended(self.now, &id, self.now, Fate::Rejected, None);
-            self.lines[call.entry].ended(self.now, self.now, Fate::Rejected, None);
-            match call.misses {
-                0 | 1 if !self.plan.line => self.send(Call { misses: call.misses + 1, ..call }),
+            self.queues[call.gateway].ended(self.now, self.now, Fate::Rejected, None);
+            match call.rejections {
+                0 | 1 if !self.scenario.queue => {
+                    self.send(Call { rejections: call.rejections + 1, ..call })
+                }
                 _ => self.refuse(call),
             }
         }
@@ -196,48 +199,49 @@
                     (self.backends[i].running.len() as u32, self.backends[i].queue.len() as u32);
                 let load = Some(Load { running, waiting, slots: SLOTS as u32 });
                 let id = &self.servers[i].id;
-                self.plain[call.entry].ended(now, id, sent, Fate::Answered(200), load);
-                self.lines[call.entry].ended(now, sent, Fate::Answered(200), load);
+                self.plain[call.gateway].ended(now, id, sent, Fate::Answered(200), load);
+                self.queues[call.gateway].ended(now, sent, Fate::Answered(200), load);
                 self.in_time += u32::from(now <= call.goal);
             }
         }
     }
 }
 
-/// Share of callers in time, counted from their first attempt, over six seeds.
-fn play(plan: Plan) -> f64 {
+/// Share of callers answered in time since their first attempt, over six seeds.
+fn simulate(scenario: Scenario) -> f64 {
     let (mut asked, mut in_time) = (0, 0);
     for seed in 0..6 {
-        let mut world = World::new(plan, seed);
+        let mut simulation = Simulation::new(scenario, seed);
         for step in 0..STEPS {
-            world.step(step);
+            simulation.step(step);
         }
-        asked += world.asked;
-        in_time += world.in_time;
+        asked += simulation.asked;
+        in_time += simulation.in_time;
     }
     f64::from(in_time) / f64::from(asked)
 }
 
 #[test]
-fn a_calm_service_needs_no_line() {
-    let share = play(Plan { burst: 1.0, lost: false, line: true });
+fn normal_load_is_served_in_time_with_a_queue() {
+    let share = simulate(Scenario { burst: 1.0, server_lost: false, queue: true });
     assert!(share > 0.98, "{share}");
 }
 
-/// 2.2 times the rate for six of ten seconds, which is 1.08 of what the slots carry: in time of 100
-/// callers 74.4 without a line, 82.2 with it (six seeds).
+/// 2.2 times the rate for six of ten seconds, which is 1.08 times the capacity: of 100 callers, 74.4 are
+/// answered in time without a queue and 82.2 with it (six seeds).
 #[test]
-fn a_burst_over_the_capacity_serves_most_in_time() {
-    let plan = Plan { burst: 2.2, lost: false, line: true };
-    let (with, without) = (play(plan), play(Plan { line: false, ..plan }));
+fn a_queue_serves_more_calls_in_time_in_a_burst() {
+    let scenario = Scenario { burst: 2.2, server_lost: false, queue: true };
+    let (with, without) = (simulate(scenario), simulate(Scenario { queue: false, ..scenario }));
     assert!(with > without + 0.06, "{with}, without {without}");
 }
 
-/// A server is lost in the burst: in time of 100 callers 60.3 without a line, 74.0 with it.
+/// A server is lost during the burst: of 100 callers, 60.3 are answered in time without a queue and 74.0 with
+/// it.
 #[test]
-fn a_lost_server_in_a_burst_leaves_the_others_useful() {
-    let plan = Plan { burst: 2.2, lost: true, line: true };
-    let (with, without) = (play(plan), play(Plan { line: false, ..plan }));
+fn a_queue_serves_more_calls_in_time_after_the_loss_of_a_server() {
+    let scenario = Scenario { burst: 2.2, server_lost: true, queue: true };
+    let (with, without) = (simulate(scenario), simulate(Scenario { queue: false, ..scenario }));
     assert!(with > without + 0.12, "{with}, without {without}");
 }
 
@@ -247,73 +251,73 @@
     NOW.after(Duration::from_millis(ms))
 }
 
-/// Fills a line and gives its tickets' turns.
-fn busy(line: &mut Line) -> usize {
+/// Sends as many calls as the queue admits at once, and returns their number.
+fn fill(queue: &mut Line) -> usize {
     let mut sent = 0;
     loop {
-        let ticket = line.join(NOW, after(300), GOAL);
-        let turn = line.turn(NOW, ticket);
-        line.leave(ticket);
+        let ticket = queue.join(NOW, after(300), GOAL);
+        let turn = queue.turn(NOW, ticket);
+        queue.leave(ticket);
         if turn != Turn::Go {
             return sent;
         }
-        line.sent(NOW);
+        queue.sent(NOW);
         sent += 1;
     }
 }
 
 #[test]
 fn the_earliest_goal_goes_first() {
-    let mut line = Line::default();
-    busy(&mut line);
-    let late = line.join(NOW, after(400), GOAL);
-    let early = line.join(NOW, after(200), GOAL);
-    line.dropped(NOW);
-    assert_eq!(line.turn(NOW, early), Turn::Go);
-    assert!(matches!(line.turn(NOW, late), Turn::Wait(_)));
+    let mut queue = Line::default();
+    fill(&mut queue);
+    let late = queue.join(NOW, after(400), GOAL);
+    let early = queue.join(NOW, after(200), GOAL);
+    queue.dropped(NOW);
+    assert_eq!(queue.turn(NOW, early), Turn::Go);
+    assert!(matches!(queue.turn(NOW, late), Turn::Wait(_)));
 }
 
 #[test]
-fn who_cannot_be_in_time_hears_so_at_once() {
-    let mut line = Line::default();
-    busy(&mut line);
-    let tickets: Vec<Ticket> = (0..40).map(|_| line.join(NOW, after(300), GOAL)).collect();
-    assert_eq!(line.turn(NOW, tickets[39]), Turn::Refuse);
-    assert!(matches!(line.turn(NOW, tickets[0]), Turn::Wait(_)));
+fn a_call_that_cannot_be_in_time_is_refused_at_once() {
+    let mut queue = Line::default();
+    fill(&mut queue);
+    let tickets: Vec<Ticket> = (0..40).map(|_| queue.join(NOW, after(300), GOAL)).collect();
+    assert_eq!(queue.turn(NOW, tickets[39]), Turn::Refuse);
+    assert!(matches!(queue.turn(NOW, tickets[0]), Turn::Wait(_)));
 }
 
 #[test]
-fn long_queues_and_rejections_leave_fewer_under_way_once_a_round() {
-    let mut line = Line::default();
-    let sent = busy(&mut line);
+fn long_queues_and_rejections_lower_the_limit_once_a_round() {
+    let mut queue = Line::default();
+    let sent = fill(&mut queue);
     let long = Some(Load { running: 6, waiting: 12, slots: 6 });
     for _ in 0..sent {
-        line.ended(after(60), NOW, Fate::Answered(200), long);
+        queue.ended(after(60), NOW, Fate::Answered(200), long);
     }
-    let once = line.window();
+    let once = queue.window();
     assert!((once - 0.9 * sent as f64).abs() < 1e-9, "{once}");
-    line.sent(after(70));
-    line.ended(after(80), after(70), Fate::Rejected, None);
-    assert!(line.window() < once);
+    queue.sent(after(70));
+    queue.ended(after(80), after(70), Fate::Rejected, None);
+    assert!(queue.window() < once);
 }
 
-/// Calls that hang at one backend server don't hold up the others.
+/// Calls that hang at one backend server must not block calls to the others.
 #[test]
-fn stuck_calls_leave_their_places() {
-    let mut line = Line::default();
-    busy(&mut line);
+fn stuck_calls_do_not_use_up_the_limit() {
+    let mut queue = Line::default();
+    fill(&mut queue);
     let now = NOW.after(STUCK_AFTER);
-    let ticket = line.join(now, now.after(GOAL), GOAL);
-    assert_eq!(line.turn(now, ticket), Turn::Go);
+    let ticket = queue.join(now, now.after(GOAL), GOAL);
+    assert_eq!(queue.turn(now, ticket), Turn::Go);
 }
 
 #[test]
-fn free_slots_let_an_entry_send_more_soon() {
-    let mut line = Line::default();
-    let before = line.window();
+fn free_slots_raise_the_limit_quickly() {
+    let mut queue = Line::default();
+    let before = queue.window();
     let free = Some(Load { running: 3, waiting: 0, slots: 6 });
-    for _ in 0..busy(&mut line) {
-        line.ended(after(60), NOW, Fate::Answered(200), free);
+    for _ in 0..fill(&mut queue) {
+        queue.ended(after(60), NOW, Fate::Answered(200), free);
     }
-    assert!(line.window() > before, "{}", line.window());
+    assert!(queue.window() > before, "{}", queue.window());
 }
--- a/crates/router/tests/losses.rs
+++ b/crates/router/tests/losses.rs
@@ -1,4 +1,4 @@
-//! Whether a server ended when an answer broke off, and when to compare notes.
+//! Whether a server crashed when an attempt was lost, and when gateways exchange their full state.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 };
 
 const NOW: Timestamp = Timestamp::from_millis(1_000_000);
-/// Time from a send to its loss.
+/// Time between sending an attempt and losing it.
 const RUN: Duration = Duration::from_millis(20);
 
 fn server(name: &str) -> Server {
@@ -30,15 +30,15 @@
     Loss { content: Content(content, 0), early: true, sent: at.before(RUN), at, number: content }
 }
 
-fn asked(losses: &mut Losses, now: Timestamp) -> Vec<String> {
+fn probed(losses: &mut Losses, now: Timestamp) -> Vec<String> {
     losses.ask(now).into_iter().map(|(id, _)| id.name).collect()
 }
 
 #[test]
-fn a_server_that_answers_later_did_not_end() {
+fn a_server_that_answers_later_did_not_crash() {
     let mut losses = Losses::default();
     losses.lost(&server("a"), loss(1, NOW), STREAM_WAIT);
-    // It was sent before: the server may have answered and then ended.
+    // Sent before the loss: the server may have answered and then crashed.
     let before = NOW.before(Duration::from_millis(1));
     assert_eq!(losses.alive(&ServerId::new("a", 0), before), []);
     assert!(losses.is_open(&Content(1, 0)));
@@ -48,52 +48,52 @@
 }
 
 #[test]
-fn a_server_is_asked_soon_for_streams_and_later_for_calls() {
+fn servers_are_probed_soon_for_streams_and_later_for_calls() {
     let mut losses = Losses::default();
     losses.lost(&server("a"), loss(1, NOW), STREAM_WAIT);
     losses.lost(&server("b"), loss(2, NOW), CALL_WAIT);
-    assert!(asked(&mut losses, NOW).is_empty());
+    assert!(probed(&mut losses, NOW).is_empty());
     assert_eq!(losses.next_ask(), Some(NOW.after(STREAM_WAIT)));
-    assert_eq!(asked(&mut losses, NOW.after(STREAM_WAIT)), ["a"]);
-    assert!(asked(&mut losses, NOW.after(STREAM_WAIT)).is_empty(), "one question at a time");
-    assert_eq!(asked(&mut losses, NOW.after(CALL_WAIT)), ["a", "b"]);
+    assert_eq!(probed(&mut losses, NOW.after(STREAM_WAIT)), ["a"]);
+    assert!(probed(&mut losses, NOW.after(STREAM_WAIT)).is_empty(), "one probe at a time");
+    assert_eq!(probed(&mut losses, NOW.after(CALL_WAIT)), ["a", "b"]);
 }
 
-/// A server with too many connections turns one away too.
+/// A server with too many connections refuses one too.
 #[test]
-fn nobody_must_listen_twice() {
+fn a_crash_needs_two_refused_connections() {
     let (mut losses, id) = (Losses::default(), ServerId::new("a", 0));
     losses.lost(&server("a"), loss(1, NOW), STREAM_WAIT);
     assert!(!losses.found(&id, Found::Nobody));
     losses.alive(&id, NOW.before(Duration::from_millis(1)));
-    assert!(!losses.found(&id, Found::Nobody), "it answered in between");
+    assert!(!losses.found(&id, Found::Nobody), "the server answered in between");
     assert!(losses.found(&id, Found::Nobody));
     assert_eq!(losses.ended(&id), [loss(1, NOW)]);
 }
 
 #[test]
-fn another_life_at_its_address_is_enough() {
+fn another_incarnation_at_the_address_means_a_crash() {
     let (mut losses, id) = (Losses::default(), ServerId::new("a", 0));
     losses.lost(&server("a"), loss(1, NOW), STREAM_WAIT);
     assert!(!losses.found(&id, Found::Silence));
     assert!(losses.found(&id, Found::Other));
 }
 
-/// What operators would have seen: a content that many callers ask for refused, since each server that ended
-/// was sent it once more before its registration lapsed, and closed the connection.
+/// Guards against refusing a request that many callers send: each crashed server was sent it again before its
+/// registration expired and closed the connection, which was taken for a crash caused by that request.
 #[test]
-fn what_was_sent_to_a_server_that_was_down_did_not_end_it() {
+fn an_attempt_sent_after_the_crash_did_not_cause_it() {
     let mut losses = Losses::default();
     let id = ServerId::new("a", 0);
     losses.lost(&server("a"), loss(1, NOW), STREAM_WAIT);
-    // Both were lost later: one was there when it ended, one came behind.
+    // Both were lost later: the first was running when the server crashed, the second was sent afterwards.
     losses.lost(&server("a"), loss(2, NOW.after(RUN / 2)), STREAM_WAIT);
     losses.lost(&server("a"), loss(3, NOW.after(RUN * 2)), STREAM_WAIT);
     assert_eq!(losses.ended(&id), [loss(1, NOW), loss(2, NOW.after(RUN / 2))]);
 }
 
 #[test]
-fn a_new_life_of_a_name_ends_the_one_before_only() {
+fn a_new_incarnation_ends_only_the_previous_one() {
     let mut losses = Losses::default();
     let (old, new) = (ServerId::new("a", 1), ServerId::new("a", 2));
     for id in [&old, &new] {
@@ -105,24 +105,24 @@
     assert!(losses.is_open(&Content(2, 0)));
 }
 
-/// A server that crashed is back after some seconds: it is still asked then.
+/// A crashed server is back after some seconds; probes must continue until then.
 #[test]
-fn questions_are_spread_over_seconds() {
+fn probes_are_spread_over_seconds() {
     let mut losses = Losses::default();
     losses.lost(&server("a"), loss(1, NOW), STREAM_WAIT);
-    let mut asked_at = Vec::new();
+    let mut probed_at = Vec::new();
     for step in 0..(INVESTIGATION_TIMEOUT.as_millis() / 10) as u32 {
         let now = NOW.after(Duration::from_millis(10) * step);
-        if !asked(&mut losses, now).is_empty() {
-            asked_at.push(now.since(NOW));
+        if !probed(&mut losses, now).is_empty() {
+            probed_at.push(now.since(NOW));
         }
     }
-    assert!(asked_at[2] < Duration::from_millis(500), "{asked_at:?}");
-    assert!(asked_at.last() > Some(&(INVESTIGATION_TIMEOUT / 2)), "{asked_at:?}");
+    assert!(probed_at[2] < Duration::from_millis(500), "{probed_at:?}");
+    assert!(probed_at.last() > Some(&(INVESTIGATION_TIMEOUT / 2)), "{probed_at:?}");
 }
 
 #[test]
-fn another_registration_at_the_address_is_enough() {
+fn another_registration_at_the_address_ends_the_server() {
     let mut losses = Losses::default();
     losses.lost(&server("a"), loss(1, NOW), STREAM_WAIT);
     let addr = server("a").addr;
@@ -131,45 +131,46 @@
     assert_eq!(losses.replaced(([127, 0, 0, 2], 1).into(), &ServerId::new("b", 0)), []);
 }
 
-/// A path that is silent says nothing, and neither does the time that passes.
+/// Neither a silent network path nor the passing of time shows that a server crashed.
 #[test]
-fn what_is_not_learned_in_time_proves_nothing() {
+fn an_unexplained_loss_is_not_a_crash() {
     let mut losses = Losses::default();
     losses.lost(&server("a"), loss(1, NOW), STREAM_WAIT);
-    let mut questions = 0;
+    let mut probes = 0;
     let mut now = NOW;
     while now < NOW.after(INVESTIGATION_TIMEOUT) {
-        questions += asked(&mut losses, now).len();
+        probes += probed(&mut losses, now).len();
         assert_eq!(losses.expire(now), []);
         now = now.after(PROBE_INTERVAL / 3);
     }
-    assert!(questions <= 10, "{questions}");
+    assert!(probes <= 10, "{probes}");
     assert_eq!(losses.expire(now), [(ServerId::new("a", 0), loss(1, NOW))]);
     assert_eq!(losses.ended(&ServerId::new("a", 0)), []);
 }
 
 #[test]
-fn notes_are_compared_with_a_peer_that_differs_for_long() {
+fn state_is_exchanged_with_a_peer_that_differs_for_long() {
     let (mut drift, step) = (Drift::default(), Duration::from_millis(100));
     let at = |n: u32| NOW.after(step * n);
     assert!(!drift.hear(at(0), "a", false));
     assert!(!drift.hear(at(3), "a", false));
-    assert!(!drift.hear(at(4), "a", true), "what was on its way came");
+    assert!(!drift.hear(at(4), "a", true), "the update in flight arrived");
     assert!(!drift.hear(at(5), "a", false));
     assert!(!drift.hear(at(5), "b", false));
     assert!(drift.hear(at(10), "a", false));
-    assert!(!drift.hear(at(10), "b", false), "one call at a time");
+    assert!(!drift.hear(at(10), "b", false), "one exchange at a time");
     assert!(drift.hear(at(15), "b", false));
 }
 
-/// Half of the fleet knows, the other half does not: peers that know the same hide no difference.
+/// Half of the gateways know a fact and the other half does not: agreement with some peers must not hide the
+/// difference to others.
 #[test]
-fn peers_that_agree_hide_no_difference() {
+fn agreeing_peers_do_not_hide_a_difference() {
     let (mut drift, step) = (Drift::default(), Duration::from_millis(100));
-    let mut called = false;
+    let mut exchanged = false;
     for n in 0..10 {
-        called |= drift.hear(NOW.after(step * n), "other", false);
+        exchanged |= drift.hear(NOW.after(step * n), "other", false);
         drift.hear(NOW.after(step * n), "same", true);
     }
-    assert!(called);
+    assert!(exchanged);
 }
--- a/crates/router/tests/outcome.rs
+++ b/crates/router/tests/outcome.rs
@@ -1,4 +1,4 @@
-//! Verdicts: what a send's end says about whether the request may have run.
+//! Whether a request may have run, by the outcomes of its attempts.
 
 use ebonyloft_core::verdict::Verdict;
 use ebonyloft_router::outcome::{Fate, Progress, REJECTIONS_MAX, Reply};
@@ -8,11 +8,11 @@
 }
 
 #[test]
-fn only_the_server_itself_says_that_it_did_not_run() {
-    let plain = reply(503);
-    assert_eq!(Fate::of(&plain, Some("a")).verdict(), Verdict::MayHaveRun);
-    let said = Reply { not_run: true, ..reply(503) };
-    assert_eq!(Fate::of(&said, Some("a")), Fate::Rejected);
+fn only_the_server_can_state_that_a_request_did_not_run() {
+    let unmarked = reply(503);
+    assert_eq!(Fate::of(&unmarked, Some("a")).verdict(), Verdict::MayHaveRun);
+    let stated = Reply { not_run: true, ..reply(503) };
+    assert_eq!(Fate::of(&stated, Some("a")), Fate::Rejected);
     let moved = Reply { moved: true, not_run: true, ..reply(421) };
     assert_eq!(Fate::of(&moved, Some("a")), Fate::Moved);
 }
@@ -21,20 +21,20 @@
 fn an_answer_to_another_attempt_is_never_passed_on() {
     let late = Reply { attempt: Some("b".into()), ..reply(200) };
     assert_eq!(Fate::of(&late, Some("a")), Fate::Lost);
-    // Not even its word that something did not run.
-    let said = Reply { attempt: Some("b".into()), not_run: true, ..reply(503) };
-    assert_eq!(Fate::of(&said, Some("a")), Fate::Lost);
+    // Its statement that the request did not run is ignored too.
+    let stated = Reply { attempt: Some("b".into()), not_run: true, ..reply(503) };
+    assert_eq!(Fate::of(&stated, Some("a")), Fate::Lost);
 }
 
 #[test]
-fn a_success_needs_the_signature_and_the_plain_body() {
+fn a_success_needs_a_signature_and_an_unencoded_body() {
     assert_eq!(Fate::of(&Reply { stamped: false, ..reply(200) }, Some("a")), Fate::Lost);
     assert_eq!(Fate::of(&Reply { encoded: true, ..reply(200) }, Some("a")), Fate::Lost);
     assert_eq!(Fate::of(&reply(200), Some("a")), Fate::Answered(200));
 }
 
 #[test]
-fn what_runs_once_is_sent_again_only_if_it_did_not_run() {
+fn a_non_repeatable_request_is_sent_again_only_if_it_did_not_run() {
     let mut once = Progress::new(false, 3);
     once.note(Fate::Rejected);
     once.note(Fate::Unsent);
@@ -46,16 +46,16 @@
 }
 
 #[test]
-fn what_may_run_again_stops_at_the_operators_limit() {
-    let mut again = Progress::new(true, 2);
-    again.note(Fate::Answered(500));
-    assert!(again.may_send());
-    again.note(Fate::Lost);
-    assert!(!again.may_send());
+fn a_repeatable_request_stops_at_the_configured_limit() {
+    let mut repeatable = Progress::new(true, 2);
+    repeatable.note(Fate::Answered(500));
+    assert!(repeatable.may_send());
+    repeatable.note(Fate::Lost);
+    assert!(!repeatable.may_send());
 }
 
 #[test]
-fn rejections_end_too() {
+fn rejections_are_limited() {
     let mut once = Progress::new(false, 1);
     for _ in 0..REJECTIONS_MAX {
         assert!(once.may_send());
@@ -65,9 +65,9 @@
     assert_eq!(once.verdict(), Verdict::NotRun);
 }
 
-/// The time may run out while a send is under way.
+/// The deadline may pass while an attempt is in flight.
 #[test]
-fn a_send_under_way_may_be_running() {
+fn a_request_in_flight_may_be_running() {
     let mut once = Progress::new(false, 1);
     once.begin();
     assert_eq!(once.verdict(), Verdict::MayHaveRun);
--- a/crates/router/tests/patience.rs
+++ b/crates/router/tests/patience.rs
@@ -1,4 +1,4 @@
-//! Telling callers who came back from those whose deadline is short.
+//! Distinguishes callers that retry from callers with a short deadline.
 
 use std::time::Duration;
 
@@ -21,15 +21,15 @@
 }
 
 #[test]
-fn a_caller_who_came_back_after_a_refusal_has_spent_that_time() {
+fn a_retry_after_a_refusal_has_spent_time() {
     let mut patience = Patience::default();
     patience.spent(NOW, "r", TIMEOUT, ms(13_800));
     assert_eq!(patience.spent(NOW, "r", TIMEOUT, ms(9_800)), ms(4_000));
 }
 
-/// The operator raises the timeout; the callers' deadlines stay as they were.
+/// The operator raises the timeout while the callers' deadlines stay as they were.
 #[test]
-fn a_timeout_beyond_all_deadlines_makes_nobody_late() {
+fn a_timeout_beyond_all_deadlines_makes_no_caller_late() {
     let mut patience = Patience::default();
     let timeout = Duration::from_secs(25);
     for left in [13_900, 12_000, 13_000] {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn routes_are_apart() {
+fn routes_are_independent() {
     let mut patience = Patience::default();
     patience.spent(NOW, "slow", TIMEOUT, ms(14_000));
     assert_eq!(patience.spent(NOW, "quick", TIMEOUT, ms(600)), Duration::ZERO);
--- a/crates/router/tests/pauses.rs
+++ b/crates/router/tests/pauses.rs
@@ -1,4 +1,4 @@
-//! Servers that want nothing for a while.
+//! Back-off of backend servers.
 
 use std::time::Duration;
 
@@ -15,32 +15,32 @@
 }
 
 #[test]
-fn a_server_is_open_again_when_its_time_is_over() {
+fn a_server_is_available_when_its_back_off_ends() {
     let mut pauses = Pauses::default();
     assert_eq!(pauses.note(NOW, &id("a"), Pause::For(SECOND * 2)), (NOW.after(SECOND * 2), true));
     assert!(!pauses.is_open(NOW.after(SECOND), &id("a")));
     assert!(pauses.is_open(NOW.after(SECOND * 2), &id("a")));
     assert!(pauses.is_open(NOW, &id("b")));
-    // Its next life said nothing.
+    // The next incarnation stated no back-off.
     assert!(pauses.is_open(NOW, &ServerId::new("a", 1)));
-    // A later word counts, also a shorter one.
+    // A later back-off replaces an earlier one, even if it is shorter.
     pauses.note(NOW, &id("a"), Pause::For(SECOND));
     assert!(pauses.is_open(NOW.after(SECOND), &id("a")));
 }
 
 #[test]
-fn nonsense_is_bounded() {
+fn invalid_and_excessive_back_offs_are_bounded() {
     let mut pauses = Pauses::default();
     let year = Pause::For(SECOND * 31_536_000);
     assert_eq!(pauses.note(NOW, &id("a"), year), (NOW.after(BACK_OFF_MAX), false));
-    let (until, as_said) = pauses.note(NOW, &id("b"), Pause::Unreadable);
-    assert_eq!((until, as_said), (NOW.after(BACK_OFF_DEFAULT), false));
+    let (until, as_stated) = pauses.note(NOW, &id("b"), Pause::Unreadable);
+    assert_eq!((until, as_stated), (NOW.after(BACK_OFF_DEFAULT), false));
     pauses.note(NOW, &id("c"), Pause::For(Duration::ZERO));
     assert!(pauses.is_open(NOW, &id("c")));
 }
 
 #[test]
-fn the_earliest_moment_is_known_when_all_rest() {
+fn the_earliest_end_is_known_when_all_servers_back_off() {
     let mut pauses = Pauses::default();
     let all = [id("a"), id("b")];
     let first = |pauses: &Pauses| soonest(all.iter().map(|id| pauses.until(NOW, id)));
--- a/crates/router/tests/routes.rs
+++ b/crates/router/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Routes by host and longest prefix, services by weight.
+//! Routes by host and longest prefix, and services by weight.
 
 use std::time::Duration;
 
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn services_are_drawn_by_weight() {
+fn services_are_selected_by_weight() {
     let config = config();
     let long = routes::find(&config, "gate.example", "/a/b/").expect("a route");
     let draws = (0..1_000).map(|i| f64::from(i) / 1_000.0);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_service_without_weight_is_never_drawn() {
+fn a_service_without_weight_is_never_selected() {
     let route = route("r", "h", "/", &[("none", 0), ("all", 5), ("last", 0)]);
     assert_eq!(routes::service(&route, 0.0), Some("all"));
     assert_eq!(routes::service(&route, 0.999_999_999_999_999_9), Some("all"));
