--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -41,7 +41,7 @@
 /// How long a complete answer counts as evidence that a request is healthy: a request that many callers send
 /// is in flight at any server that crashes.
 pub const HEALTHY_TTL: Duration = Duration::from_secs(10);
-/// Most healthy digests kept; other gateways receive requests within `HEALTHY_TTL` too.
+/// Most healthy digests kept; more than a single gateway serves within `HEALTHY_TTL`.
 const HEALTHY_MAX: usize = 16_384;
 /// New rows between two checks of the table size.
 const CHECK_ROWS: usize = 512;
--- a/crates/router/tests/budget.rs
+++ b/crates/router/tests/budget.rs
@@ -23,8 +23,8 @@
 }
 
 /// Reserves and commits one retry.
-fn try_retry(budget: &mut Budget, now: Timestamp, entries: usize) -> bool {
-    let granted = budget.hold(now, &bounds(), entries, Lack::Sure(1));
+fn try_retry(budget: &mut Budget, now: Timestamp, gateways: usize) -> bool {
+    let granted = budget.hold(now, &bounds(), gateways, Lack::Sure(1));
     if granted {
         budget.spend(now);
     }
