--- a/crates/router/src/quota/homes.rs
+++ b/crates/router/src/quota/homes.rs
@@ -19,7 +19,7 @@
 /// Numbers of the gateways that a gateway can't reach.
 pub type Missing = BTreeSet<u32>;
 
-/// Compact number that identifies a gateway in `Missing`.
+/// Compact number that identifies a gateway in `UnreachableGateways`.
 pub fn gateway_number(name: &str) -> u32 {
     (number(name) >> 32) as u32
 }
