--- a/crates/router/src/losses.rs
+++ b/crates/router/src/losses.rs
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug)]
 struct Investigation {
     addr: SocketAddr,
-    losses: Vec<Loss>,
+    attempts: Vec<Loss>,
     probe_at: Timestamp,
     probes: u32,
     refusals: u32,
@@ -76,18 +76,18 @@
 
 impl Losses {
     /// Adds a lost attempt; the server is probed after `wait` unless its state is known before.
-    pub fn lost(&mut self, server: &Server, loss: Loss, wait: Duration) {
-        let probe_at = loss.at.after(wait);
+    pub fn lost(&mut self, server: &Server, attempt: Loss, wait: Duration) {
+        let probe_at = attempt.at.after(wait);
         let investigation =
             self.investigations.entry(server.id.clone()).or_insert_with(|| Investigation {
                 addr: server.addr,
-                losses: Vec::new(),
+                attempts: Vec::new(),
                 probe_at,
                 probes: 0,
                 refusals: 0,
             });
         investigation.probe_at = investigation.probe_at.min(probe_at);
-        investigation.losses.push(loss);
+        investigation.attempts.push(attempt);
     }
 
     /// The server answered a request that was sent at `sent`: attempts lost before then did not crash it.
@@ -97,9 +97,10 @@
             return Vec::new();
         };
         investigation.refusals = 0;
-        let (cleared, left) = investigation.losses.drain(..).partition(|loss| loss.at <= sent);
-        investigation.losses = left;
-        if investigation.losses.is_empty() {
+        let (cleared, left) =
+            investigation.attempts.drain(..).partition(|attempt| attempt.at <= sent);
+        investigation.attempts = left;
+        if investigation.attempts.is_empty() {
             self.investigations.remove(id);
         }
         cleared
@@ -108,13 +109,13 @@
     /// The server has crashed: returns the attempts that were lost by its crash. An attempt sent after the
     /// first loss reached a server that was already down.
     pub fn ended(&mut self, id: &ServerId) -> Vec<Loss> {
-        let mut losses = self
+        let mut attempts = self
             .investigations
             .remove(id)
-            .map_or_else(Vec::new, |investigation| investigation.losses);
-        let first = losses.iter().map(|loss| loss.at).min().unwrap_or_default();
-        losses.retain(|loss| loss.sent <= first);
-        losses
+            .map_or_else(Vec::new, |investigation| investigation.attempts);
+        let first = attempts.iter().map(|attempt| attempt.at).min().unwrap_or_default();
+        attempts.retain(|attempt| attempt.sent <= first);
+        attempts
     }
 
     /// Does the same for all incarnations of a name except `current`.
@@ -178,21 +179,21 @@
         let mut expired = Vec::new();
         for (id, investigation) in &mut self.investigations {
             let (old, left) = investigation
-                .losses
+                .attempts
                 .drain(..)
-                .partition(|loss| loss.at.after(INVESTIGATION_TIMEOUT) <= now);
-            investigation.losses = left;
+                .partition(|attempt| attempt.at.after(INVESTIGATION_TIMEOUT) <= now);
+            investigation.attempts = left;
             let old: Vec<Loss> = old;
-            expired.extend(old.into_iter().map(|loss| (id.clone(), loss)));
+            expired.extend(old.into_iter().map(|attempt| (id.clone(), attempt)));
         }
-        self.investigations.retain(|_, investigation| !investigation.losses.is_empty());
+        self.investigations.retain(|_, investigation| !investigation.attempts.is_empty());
         expired
     }
 
     /// Whether an attempt of this request is under investigation.
     pub fn is_open(&self, content: &Content) -> bool {
-        self.investigations
-            .values()
-            .any(|investigation| investigation.losses.iter().any(|loss| loss.content == *content))
+        self.investigations.values().any(|investigation| {
+            investigation.attempts.iter().any(|attempt| attempt.content == *content)
+        })
     }
 }
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -190,65 +190,65 @@
 
 impl Quarantine {
     /// How a request is treated.
-    pub fn standing(&self, now: Timestamp, content: &Content) -> Standing {
-        self.rows.get(content).map_or(Standing::Free, |row| row.standing(now))
+    pub fn standing(&self, now: Timestamp, digest: &Content) -> Standing {
+        self.rows.get(digest).map_or(Standing::Free, |row| row.standing(now))
     }
 
     /// Known crashes under a request.
-    pub fn endings(&self, content: &Content) -> &[Ending] {
-        self.rows.get(content).map_or(&[], |row| &row.crashes)
+    pub fn endings(&self, digest: &Content) -> &[Ending] {
+        self.rows.get(digest).map_or(&[], |row| &row.crashes)
     }
 
     /// Whether one more crash soon after the start would confirm the request. Other gateways then store it
     /// too.
-    pub fn is_close(&self, content: &Content) -> bool {
+    pub fn is_close(&self, digest: &Content) -> bool {
         let close =
             |row: &Row| row.confirmed_at.is_none() && row.points() + EARLY_POINTS >= CONFIRM_POINTS;
-        self.rows.get(content).is_some_and(close)
+        self.rows.get(digest).is_some_and(close)
     }
 
     /// Whether there is a history of the request.
-    pub fn is_known(&self, content: &Content) -> bool {
-        self.rows.contains_key(content)
+    pub fn is_known(&self, digest: &Content) -> bool {
+        self.rows.contains_key(digest)
     }
 
     /// Records a complete answer at this gateway; true if other gateways need the update.
-    pub fn served_here(&mut self, now: Timestamp, content: Content) -> bool {
+    pub fn served_here(&mut self, now: Timestamp, digest: Content) -> bool {
         if self.healthy.len() >= HEALTHY_MAX {
             self.healthy.retain(|_, at| at.after(HEALTHY_TTL) > now);
         }
         if self.healthy.len() >= HEALTHY_MAX {
             self.healthy.clear();
         }
-        self.healthy.insert(content, now);
-        self.is_known(&content)
+        self.healthy.insert(digest, now);
+        self.is_known(&digest)
     }
 
     /// Whether the request was answered completely at this gateway after, or shortly before, the given time.
-    pub fn is_sound(&self, at: Timestamp, content: &Content) -> bool {
-        self.healthy.get(content).is_some_and(|served| served.after(HEALTHY_TTL) > at)
+    pub fn is_sound(&self, at: Timestamp, digest: &Content) -> bool {
+        self.healthy.get(digest).is_some_and(|served| served.after(HEALTHY_TTL) > at)
     }
 
     /// Applies an update of this gateway or of a peer.
     pub fn take(&mut self, now: Timestamp, update: &Word) -> Change {
-        let (content, at) = (update.content, now.before(Duration::from_millis(update.age)));
+        let (digest, at) = (update.content, now.before(Duration::from_millis(update.age)));
         match &update.fact {
-            Fact::Lost(number) => self.hold(now, content, *number, at.after(INVESTIGATION_HOLD)),
-            Fact::Trying(number) => self.hold(now, content, *number, at.after(PROBE_TIMEOUT)),
-            Fact::Over(number) => self.release_hold(now, content, *number),
+            Fact::Lost(number) => self.hold(now, digest, *number, at.after(INVESTIGATION_HOLD)),
+            Fact::Trying(number) => self.hold(now, digest, *number, at.after(PROBE_TIMEOUT)),
+            Fact::Over(number) => self.release_hold(now, digest, *number),
             Fact::Ended(server, early) => {
                 let crash = Ending { server: server.clone(), early: *early, at };
-                return self.record_crash(now, content, crash);
+                return self.record_crash(now, digest, crash);
             }
-            Fact::Served => return self.record_served(content, at),
-            Fact::Proved => return self.record_confirmed(now, content, at),
-            Fact::Released => return self.record_released(content, at),
+            Fact::Served => return self.record_served(digest, at),
+            Fact::Proved => return self.record_confirmed(now, digest, at),
+            Fact::Released => return self.record_released(digest, at),
         }
         Change::Nothing
     }
 
-    fn hold(&mut self, now: Timestamp, content: Content, number: u64, until: Timestamp) {
-        let row = self.rows.entry(content).or_default();
+    fn hold(&mut self, now: Timestamp, digest: Content, number: u64, until: Timestamp) {
+        let row = self.rows.entry(digest).or_default();
         row.holds.retain(|(_, until)| *until > now);
         if row.holds.len() < HOLDS_MAX && row.holds.iter().all(|(n, _)| *n != number) {
             row.holds.push((number, until));
@@ -257,18 +257,18 @@
     }
 
     /// Removes only the hold with this number; other investigations may be running.
-    fn release_hold(&mut self, now: Timestamp, content: Content, number: u64) {
-        let Some(row) = self.rows.get_mut(&content) else {
+    fn release_hold(&mut self, now: Timestamp, digest: Content, number: u64) {
+        let Some(row) = self.rows.get_mut(&digest) else {
             return;
         };
         row.holds.retain(|(n, until)| *n != number && *until > now);
     }
 
-    fn record_crash(&mut self, now: Timestamp, content: Content, crash: Ending) -> Change {
+    fn record_crash(&mut self, now: Timestamp, digest: Content, crash: Ending) -> Change {
         if crash.at.after(SUSPECT_LIFE) <= now {
             return Change::Nothing;
         }
-        let row = self.rows.entry(content).or_default();
+        let row = self.rows.entry(digest).or_default();
         let known = row.crashes.iter().any(|e| e.server == crash.server);
         let voided = crash.at <= row.served_at.max(row.released_at);
         if known || voided || row.crashes.len() >= CRASHES_MAX {
@@ -285,8 +285,8 @@
     }
 
     /// A confirmed request stays confirmed, since the answer may have begun before.
-    fn record_served(&mut self, content: Content, at: Timestamp) -> Change {
-        let Some(row) = self.rows.get_mut(&content).filter(|row| row.confirmed_at.is_none()) else {
+    fn record_served(&mut self, digest: Content, at: Timestamp) -> Change {
+        let Some(row) = self.rows.get_mut(&digest).filter(|row| row.confirmed_at.is_none()) else {
             return Change::Nothing;
         };
         let before = row.crashes.len();
@@ -296,11 +296,11 @@
         if row.crashes.len() < before { Change::Cleared } else { Change::Nothing }
     }
 
-    fn record_confirmed(&mut self, now: Timestamp, content: Content, at: Timestamp) -> Change {
+    fn record_confirmed(&mut self, now: Timestamp, digest: Content, at: Timestamp) -> Change {
         if at.after(PROVED_LIFE) <= now {
             return Change::Nothing;
         }
-        let row = self.rows.entry(content).or_default();
+        let row = self.rows.entry(digest).or_default();
         if at <= row.released_at || row.confirmed_at.is_some_and(|before| before >= at) {
             return Change::Nothing;
         }
@@ -310,8 +310,8 @@
         change
     }
 
-    fn record_released(&mut self, content: Content, at: Timestamp) -> Change {
-        let row = self.rows.entry(content).or_default();
+    fn record_released(&mut self, digest: Content, at: Timestamp) -> Change {
+        let row = self.rows.entry(digest).or_default();
         if at <= row.released_at {
             return Change::Nothing;
         }
@@ -325,10 +325,10 @@
     /// Full state as updates, for a peer whose checksum differs.
     pub fn table(&self, now: Timestamp) -> Vec<Word> {
         let mut updates = Vec::new();
-        for (content, row) in &self.rows {
+        for (digest, row) in &self.rows {
             let mut add = |at: Timestamp, fact| {
                 let age = now.since(at).as_millis() as u64;
-                updates.push(Word { content: *content, age, fact });
+                updates.push(Word { content: *digest, age, fact });
             };
             // Facts that void others come first.
             if row.released_at > Timestamp::default() {
@@ -349,7 +349,7 @@
 
     /// Checksum of the state, zero if it is empty; gateways with equal checksums have the same state.
     pub fn sum(&self) -> u64 {
-        self.rows.iter().map(|(content, row)| row_checksum(content, row)).fold(0, |a, b| a ^ b)
+        self.rows.iter().map(|(digest, row)| row_checksum(digest, row)).fold(0, |a, b| a ^ b)
     }
 
     /// Number of suspect and of confirmed requests.
@@ -362,8 +362,8 @@
     /// Drops expired rows, and returns the confirmed requests among them.
     pub fn expire(&mut self, now: Timestamp) -> Vec<Content> {
         let expired = |row: &Row| row.ends_at() <= now;
-        let proved = |(content, row): (&Content, &Row)| {
-            (expired(row) && row.confirmed_at.is_some()).then_some(*content)
+        let proved = |(digest, row): (&Content, &Row)| {
+            (expired(row) && row.confirmed_at.is_some()).then_some(*digest)
         };
         let forgotten = self.rows.iter().filter_map(proved).collect();
         self.rows.retain(|_, row| !expired(row));
@@ -384,21 +384,21 @@
                 .rows
                 .iter()
                 .filter(|(_, row)| row.confirmed_at.is_some() == proved)
-                .map(|(content, row)| (row.points(), row.ends_at(), *content))
+                .map(|(digest, row)| (row.points(), row.ends_at(), *digest))
                 .collect();
             if rows.len() + CHECK_ROWS <= max {
                 continue;
             }
             let surplus = (rows.len() + 2 * CHECK_ROWS - max).min(rows.len());
             rows.select_nth_unstable(surplus - 1);
-            rows[..surplus].iter().for_each(|(.., content)| drop(self.rows.remove(content)));
+            rows[..surplus].iter().for_each(|(.., digest)| drop(self.rows.remove(digest)));
         }
         self.check_at = self.rows.len() + CHECK_ROWS;
     }
 }
 
-fn row_checksum(content: &Content, row: &Row) -> u64 {
-    let digest_hash = mix(content.0 ^ content.1);
+fn row_checksum(digest: &Content, row: &Row) -> u64 {
+    let digest_hash = mix(digest.0 ^ digest.1);
     if row.confirmed_at.is_some() {
         // Gateways may keep different crashes of a confirmed request; that makes no difference any more.
         return mix(digest_hash);
--- a/crates/router/src/quota/borrower.rs
+++ b/crates/router/src/quota/borrower.rs
@@ -52,8 +52,8 @@
 
     /// If the limit is known to be exhausted: until when, and when a refused caller should retry.
     pub fn over(&self, now: Timestamp, key: &Key) -> Option<(Timestamp, Timestamp)> {
-        let (room_at, back_at) = self.rows.get(key)?.exhausted?;
-        (now < room_at).then_some((room_at, back_at))
+        let (admit_at, retry_at) = self.rows.get(key)?.exhausted?;
+        (now < admit_at).then_some((admit_at, retry_at))
     }
 
     /// Tokens to lease in advance, beside the request at hand.
@@ -61,16 +61,16 @@
         self.rows.get(key).map_or(0, |row| (row.demand * PREFETCH_TIME.as_secs_f64()) as u64)
     }
 
-    /// Adds tokens that the owner granted for a request made at `asked`.
-    pub fn lent(&mut self, key: &Key, asked: Timestamp, tokens: u64) {
+    /// Adds tokens that the owner granted for a request made at `requested_at`.
+    pub fn lent(&mut self, key: &Key, requested_at: Timestamp, tokens: u64) {
         let row = self.row(key);
         row.exhausted = None;
-        row.leases.push_back(Lease { tokens, ends_at: asked.after(LEASE_TTL) });
+        row.leases.push_back(Lease { tokens, ends_at: requested_at.after(LEASE_TTL) });
     }
 
     /// Records that the owner has no tokens.
-    pub fn refused(&mut self, key: &Key, room_at: Timestamp, back_at: Timestamp) {
-        self.row(key).exhausted = Some((room_at, back_at));
+    pub fn refused(&mut self, key: &Key, admit_at: Timestamp, retry_at: Timestamp) {
+        self.row(key).exhausted = Some((admit_at, retry_at));
     }
 
     /// Returns the tokens of a request that did not run, for use by another one.
--- a/crates/router/src/quota/homes.rs
+++ b/crates/router/src/quota/homes.rs
@@ -52,14 +52,14 @@
         ranked
     }
 
-    /// The owner for a gateway that can't reach the gateways in `missing`.
-    pub fn home(&mut self, fleet: &Fleet, key: &Key, missing: &Missing) -> Option<String> {
+    /// The owner for a gateway that can't reach the gateways in `unreachable`.
+    pub fn home(&mut self, fleet: &Fleet, key: &Key, unreachable: &Missing) -> Option<String> {
         let ranked = self.ranked(fleet, key);
-        ranked.iter().find(|name| !missing.contains(&gateway_number(name))).cloned()
+        ranked.iter().find(|name| !unreachable.contains(&gateway_number(name))).cloned()
     }
 
     /// The share of a limit that the gateway `own` may grant.
-    pub fn part(&mut self, fleet: &Fleet, key: &Key, own: &str, votes: &impl Votes) -> f64 {
+    pub fn part(&mut self, fleet: &Fleet, key: &Key, own: &str, reports: &impl Votes) -> f64 {
         let ranked = self.ranked(fleet, key);
         let Some(rank) = ranked.iter().position(|name| name == own) else {
             return 0.0;
@@ -67,11 +67,12 @@
         let higher_ranked: Vec<u32> =
             ranked[..rank].iter().map(|name| gateway_number(name)).collect();
         let own = gateway_number(own);
-        let asks = |missing: &Missing| {
-            higher_ranked.iter().all(|n| missing.contains(n)) && !missing.contains(&own)
+        let asks_here = |unreachable: &Missing| {
+            higher_ranked.iter().all(|n| unreachable.contains(n)) && !unreachable.contains(&own)
         };
         let all = fleet.all();
-        let count = all.keys().filter_map(|name| votes.missing(name)).filter(|m| asks(m)).count();
+        let count =
+            all.keys().filter_map(|name| reports.missing(name)).filter(|m| asks_here(m)).count();
         count as f64 / all.len().max(1) as f64
     }
 }
--- a/crates/router/src/quota/lender.rs
+++ b/crates/router/src/quota/lender.rs
@@ -76,18 +76,18 @@
     }
 
     /// Drops limits that another gateway owns now, since the grants of that gateway are not known here.
-    pub fn retain(&mut self, mut is_home: impl FnMut(&Key) -> bool) {
-        self.rows.retain(|key, _| is_home(key));
+    pub fn retain(&mut self, mut is_owner: impl FnMut(&Key) -> bool) {
+        self.rows.retain(|key, _| is_owner(key));
     }
 
-    /// Grants a lease. `part` is this gateway's share of the limit; `first` if it ranks first for the key.
+    /// Grants a lease. `part` is this gateway's share of the limit; `is_first` if it ranks first for the key.
     pub fn lend(
         &mut self,
         now: Timestamp,
-        ask: &Ask,
+        request: &Ask,
         bound: &Rate,
         part: f64,
-        first: bool,
+        is_first: bool,
     ) -> Reply {
         if part <= 0.0 {
             return Reply::Elsewhere;
@@ -96,15 +96,15 @@
             self.recent_grants.pop_front();
         }
         if let Some((.., reply)) =
-            self.recent_grants.iter().find(|(_, number, _)| *number == ask.number)
+            self.recent_grants.iter().find(|(_, number, _)| *number == request.number)
         {
             return *reply;
         }
         // A standby does not know which tokens were granted before; the first ranked gateway has owned the
         // limit since `ranked_at`.
-        let since = if first { self.ranked_at } else { now };
+        let since = if is_first { self.ranked_at } else { now };
         let rate = Rate { rate: bound.rate * part, burst: bound.burst * part };
-        let row = self.rows.entry(ask.key.clone()).or_insert_with(|| Row {
+        let row = self.rows.entry(request.key.clone()).or_insert_with(|| Row {
             bucket: Bucket::empty(since),
             bound: *bound,
             retry_at: now,
@@ -114,16 +114,16 @@
             row.bucket.put(&rate, (bound.burst - row.bound.burst) * part);
         }
         row.bound = *bound;
-        match row.bucket.take_some(now, &rate, ask.need as f64) {
+        match row.bucket.take_some(now, &rate, request.need as f64) {
             Ok(()) => {
                 let surplus = (row.bucket.level() - rate.burst * RESERVED_FRACTION).max(0.0);
-                let extra = surplus.min(ask.more as f64).floor();
+                let extra = surplus.min(request.more as f64).floor();
                 row.bucket.put(&rate, -extra);
-                let reply = Reply::Lent(ask.need + extra as u64);
-                self.recent_grants.push_back((now, ask.number, reply));
+                let reply = Reply::Lent(request.need + extra as u64);
+                self.recent_grants.push_back((now, request.number, reply));
                 reply
             }
-            Err(at) => row.refuse(now, at, ask.need as f64 / rate.rate),
+            Err(admit_at) => row.refuse(now, admit_at, request.need as f64 / rate.rate),
         }
     }
 
@@ -152,13 +152,13 @@
 }
 
 impl Row {
-    /// Refuses a request that could be admitted at `at`; retries are spaced as fast as the limit allows.
-    fn refuse(&mut self, now: Timestamp, at: Timestamp, seconds: f64) -> Reply {
+    /// Refuses a request that could be admitted at `admit_at`; retries are spaced as fast as the limit allows.
+    fn refuse(&mut self, now: Timestamp, admit_at: Timestamp, seconds: f64) -> Reply {
         let latest = now.after(RETRY_SPREAD_MAX);
-        let retry_at = self.retry_at.max(at).min(latest.max(at));
+        let retry_at = self.retry_at.max(admit_at).min(latest.max(admit_at));
         let interval = Duration::try_from_secs_f64(seconds).unwrap_or(RETRY_SPREAD_MAX);
         self.retry_at = retry_at.after(interval).min(latest);
         let millis = |at: Timestamp| at.since(now).as_millis().min(u128::from(u32::MAX)) as u32;
-        Reply::Over { room: millis(at), back: millis(retry_at) }
+        Reply::Over { room: millis(admit_at), back: millis(retry_at) }
     }
 }
