--- a/crates/router/src/comeback.rs
+++ b/crates/router/src/comeback.rs
@@ -15,8 +15,8 @@
 /// Random spread added to that fraction, so that callers refused together don't retry together.
 const WAIT_SPREAD: f64 = 0.10;
 
-/// Retry-after for a caller with `remaining` of its deadline; `store_down` if the store does not answer. `draw` is
-/// uniform in 0..1.
+/// Retry-after for a caller with `remaining` of its deadline; `store_down` if the store does not answer.
+/// `draw` is uniform in 0..1.
 pub fn wait(remaining: Option<Duration>, store_down: bool, draw: f64) -> Duration {
     match remaining.filter(|_| store_down) {
         Some(remaining) => remaining.mul_f64(WAIT_FRACTION + WAIT_SPREAD * draw).max(SOON),
--- a/crates/router/src/losses.rs
+++ b/crates/router/src/losses.rs
@@ -124,8 +124,8 @@
         name: &str,
         current: Option<&ServerId>,
     ) -> Vec<(ServerId, Vec<Loss>)> {
-        let ended = |id: &&ServerId| id.name == name && Some(*id) != current;
-        let ids: Vec<ServerId> = self.investigations.keys().filter(ended).cloned().collect();
+        let superseded = |id: &&ServerId| id.name == name && Some(*id) != current;
+        let ids: Vec<ServerId> = self.investigations.keys().filter(superseded).cloned().collect();
         ids.into_iter().map(|id| (id.clone(), self.ended(&id))).collect()
     }
 
--- a/crates/router/src/quota.rs
+++ b/crates/router/src/quota.rs
@@ -3,8 +3,8 @@
 //! Each limit has an owner among the gateways, which grants token leases. A gateway that receives a request
 //! asks the owner for the cost of the request, plus tokens for the demand that it expects. Each token is
 //! granted once, so the sum keeps the limit wherever requests arrive. The owner follows from the list of
-//! gateways alone (`ownership`). A new owner starts with the tokens that have accrued since it became the owner,
-//! and so grants no second burst.
+//! gateways alone (`ownership`). A new owner starts with the tokens that have accrued since it became the
+//! owner, and so grants no second burst.
 
 pub mod borrower;
 pub mod homes;
--- a/crates/router/src/quota/lender.rs
+++ b/crates/router/src/quota/lender.rs
@@ -152,7 +152,8 @@
 }
 
 impl Row {
-    /// Refuses a request that could be admitted at `admit_at`; retries are spaced as fast as the limit allows.
+    /// Refuses a request that could be admitted at `admit_at`; retries are spaced as fast as the limit
+    /// allows.
     fn refuse(&mut self, now: Timestamp, admit_at: Timestamp, seconds: f64) -> Reply {
         let latest = now.after(RETRY_SPREAD_MAX);
         let retry_at = self.retry_at.max(admit_at).min(latest.max(admit_at));
