--- a/crates/daemon/src/gateway/belief.rs
+++ b/crates/daemon/src/gateway/belief.rs
@@ -1,4 +1,5 @@
-//! What one gateway believes, fetched by another one that heard of something newer.
+//! Exchange of configuration, server registry and gateway list between gateways. A gateway that
+//! learns of newer versions at a peer fetches them from there.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,38 +20,38 @@
 use super::watch::note_effect;
 use crate::http;
 
-/// Longest wait for a peer's beliefs, and for each part of them.
-const PULL_WAIT: Duration = Duration::from_millis(500);
-/// Path of a gateway's beliefs.
+/// Timeout of a fetch from a peer, and of each part of the response body.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(500);
+/// Path at which a gateway serves its state to peers.
 pub const PATH: &str = "/belief";
 
-/// What a gateway knows beyond the versions that it was told.
+/// The parts of a gateway's state that are newer than the versions in the request.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct Belief {
-    /// What it knows.
+    /// The sender's versions.
     pub versions: Versions,
-    /// A newer configuration.
+    /// The configuration, if it is newer.
     pub config: Option<Config>,
-    /// News of the list of backend servers.
+    /// Changes of the server registry, if there are any.
     pub roster: Option<Servers>,
-    /// A newer list of gateways.
+    /// The list of gateways, if it is newer.
     pub fleet: Option<BTreeMap<String, Gateway>>,
-    /// A missing registration means that the backend server is gone.
+    /// True if a registration missing at the sender means that the backend server is gone.
     pub settled: bool,
-    /// Milliseconds since its configuration was known to be the newest.
+    /// Milliseconds since the sender's configuration was known to be the newest.
     pub age: u64,
 }
 
-/// Backend servers, or what changed of them.
+/// The server registry, in full or as changes.
 #[derive(Debug, Deserialize, Serialize)]
 pub enum Servers {
-    /// All that there are.
+    /// All backend servers.
     All(Vec<Change>),
-    /// What changed behind the revision that was asked for.
+    /// Changes after the requested revision.
     Changes(Vec<Change>),
 }
 
-/// What this gateway knows.
+/// Versions of this gateway's state.
 pub fn versions(shared: &Shared) -> Versions {
     Versions {
         config: shared.config().map_or(0, |c| c.version),
@@ -59,78 +60,82 @@
     }
 }
 
-/// A peer told its versions: fetches what is newer there; the lists only if they do not come from the store.
-pub fn compare(shared: &Rc<Shared>, from: SocketAddr, theirs: Versions) {
+/// Compares a peer's versions with the own ones and fetches what is newer there. Lists are fetched
+/// only if this gateway does not get them from the store.
+pub fn fetch_newer(shared: &Rc<Shared>, from: SocketAddr, theirs: Versions) {
     let own = versions(shared);
-    // Who leads goes by the store, but not against what others have heard of it: the store may be silent
-    // to this gateway alone, which it notices only when a watch has run out.
-    let direct = shared.role.borrow().leads() && !shared.fresh.borrow().is_away();
+    // A zone leader gets its lists from the store. It still fetches them from a peer that has been
+    // ahead for a while: the store may be silent to this gateway alone, which it notices only when
+    // a watch times out.
+    let follows_store = shared.role.borrow().leads() && !shared.fresh.borrow().is_away();
     let behind = shared.pulls.borrow_mut().is_behind(shared.now(), own, theirs);
-    if own.lacks(Part::Lists, theirs) && (!direct || behind) {
-        begin(shared, from, Part::Lists, own);
+    if own.lacks(Part::Lists, theirs) && (!follows_store || behind) {
+        start_fetch(shared, from, Part::Lists, own);
     }
     if own.lacks(Part::Config, theirs) {
-        begin(shared, from, Part::Config, own);
+        start_fetch(shared, from, Part::Config, own);
     }
 }
 
-fn begin(shared: &Rc<Shared>, from: SocketAddr, part: Part, own: Versions) {
+fn start_fetch(shared: &Rc<Shared>, from: SocketAddr, part: Part, own: Versions) {
     if shared.pulls.borrow_mut().begin(shared.now(), part, from) {
-        compio::runtime::spawn(pull(shared.clone(), from, part, own)).detach();
+        compio::runtime::spawn(fetch_part(shared.clone(), from, part, own)).detach();
     }
 }
 
-async fn pull(shared: Rc<Shared>, from: SocketAddr, part: Part, own: Versions) {
-    let asked = shared.now();
-    let belief = fetch(&shared, from, own.asking(part)).await;
-    shared.pulls.borrow_mut().end(shared.now(), part, belief.is_some());
-    if let Some(belief) = belief {
+async fn fetch_part(shared: Rc<Shared>, from: SocketAddr, part: Part, own: Versions) {
+    let sent_at = shared.now();
+    let update = request_state(&shared, from, own.asking(part)).await;
+    shared.pulls.borrow_mut().end(shared.now(), part, update.is_some());
+    if let Some(update) = update {
         let theirs =
-            Held { version: belief.versions.config, age: Duration::from_millis(belief.age) };
-        take(&shared, from, belief);
-        shared.recency.borrow_mut().on_held(asked, shared.basis().config, theirs);
+            Held { version: update.versions.config, age: Duration::from_millis(update.age) };
+        apply(&shared, from, update);
+        shared.recency.borrow_mut().on_held(sent_at, shared.basis().config, theirs);
     }
 }
 
-async fn fetch(shared: &Shared, from: SocketAddr, known: Versions) -> Option<Belief> {
+async fn request_state(shared: &Shared, from: SocketAddr, known: Versions) -> Option<Belief> {
     let mut req = Request::new(Bytes::new());
     let Versions { config, roster, fleet } = known;
     let path = format!("{PATH}?{config}.{roster}.{fleet}");
-    *req.uri_mut() = path.parse().expect("numbers make a valid path");
-    match shared.pool.call(from, req, PULL_WAIT).await {
+    *req.uri_mut() = path.parse().expect("a path of numbers is valid");
+    match shared.pool.call(from, req, FETCH_TIMEOUT).await {
         Ok((StatusCode::OK, body)) => ciborium::from_reader(&body[..])
-            .inspect_err(|e| tracing::warn!(%from, error = %e, "peer's beliefs unread"))
+            .inspect_err(
+                |e| tracing::warn!(%from, error = %e, "can't decode state fetched from peer"),
+            )
             .ok(),
         Ok((status, _)) => {
-            tracing::debug!(%from, %status, "peer has no beliefs");
+            tracing::debug!(%from, %status, "peer refused to send its state");
             None
         }
         Err(e) => {
-            tracing::debug!(%from, error = %e, "peer not reached");
+            tracing::debug!(%from, error = %e, "can't fetch state from peer");
             None
         }
     }
 }
 
-fn take(shared: &Shared, from: SocketAddr, belief: Belief) {
-    if let Some(config) = belief.config {
+fn apply(shared: &Shared, from: SocketAddr, update: Belief) {
+    if let Some(config) = update.config {
         let version = config.version;
         if shared.offer(config) {
             tracing::info!(version, peer = %from, "configuration in force");
         }
     }
-    let away = shared.fresh.borrow().is_away();
-    if let Some(fleet) = belief.fleet {
-        let (now, revision) = (shared.now(), belief.versions.fleet);
+    let store_away = shared.fresh.borrow().is_away();
+    if let Some(fleet) = update.fleet {
+        let (now, revision) = (shared.now(), update.versions.fleet);
         shared.fleet.borrow_mut().replace(now, fleet, revision);
     }
-    let revision = belief.versions.roster;
+    let revision = update.versions.roster;
     if revision <= shared.roster.borrow().revision() {
         return;
     }
-    // Who can't believe the store itself goes by the peer's judgement.
-    let settled = belief.settled && (away || shared.fresh.borrow().settled(shared.now()));
-    let effects = match belief.roster {
+    // A gateway that can't reach the store relies on the peer's `settled` flag alone.
+    let settled = update.settled && (store_away || shared.fresh.borrow().settled(shared.now()));
+    let effects = match update.roster {
         None => return,
         Some(Servers::All(list)) => shared.roster.borrow_mut().replace(list, revision, settled),
         Some(Servers::Changes(changes)) => {
@@ -144,26 +149,26 @@
     shared.wake_all();
 }
 
-/// Answers a peer who asks for what is newer here than what it knows.
+/// Answers a peer's request for everything newer than the versions in the query.
 pub fn answer(shared: &Shared, query: Option<&str>) -> Response<http::Body> {
-    let Some(theirs) = query.and_then(parse) else {
+    let Some(theirs) = query.and_then(parse_versions) else {
         return http::response(StatusCode::BAD_REQUEST, "text/plain", http::full("no versions\n"));
     };
-    let mut belief = belief(shared, theirs);
+    let mut update = build_update(shared, theirs);
     let mut upload = None;
-    if belief.config.is_some() {
+    if update.config.is_some() {
         upload = shared.uploads.begin(shared.now(), shared.node().link);
-        if upload.is_none() && belief.roster.is_none() && belief.fleet.is_none() {
-            // Another peer has it too, or will.
-            return unavailable("enough are being sent\n");
+        if upload.is_none() && update.roster.is_none() && update.fleet.is_none() {
+            // Upload slots are used up; the peer can fetch the configuration from another gateway.
+            return service_unavailable("enough are being sent\n");
         }
-        // Who asks for all by one call is told the lists at once.
-        belief.config = belief.config.filter(|_| upload.is_some());
+        // Without an upload slot the response holds the lists only.
+        update.config = update.config.filter(|_| upload.is_some());
     }
     let mut bytes = Vec::new();
-    if let Err(e) = ciborium::into_writer(&belief, &mut bytes) {
-        tracing::error!(error = %e, "beliefs not encoded");
-        return unavailable("not encoded\n");
+    if let Err(e) = ciborium::into_writer(&update, &mut bytes) {
+        tracing::error!(error = %e, "can't encode state for peer");
+        return service_unavailable("not encoded\n");
     }
     let counter = if upload.is_some() { "gateway.bytes.config" } else { "gateway.bytes.lists" };
     shared.metrics.count(counter, bytes.len() as u64);
@@ -174,28 +179,28 @@
     http::response(StatusCode::OK, "application/cbor", body)
 }
 
-fn unavailable(why: &'static str) -> Response<http::Body> {
+fn service_unavailable(why: &'static str) -> Response<http::Body> {
     http::response(StatusCode::SERVICE_UNAVAILABLE, "text/plain", http::full(why))
 }
 
-fn parse(query: &str) -> Option<Versions> {
+fn parse_versions(query: &str) -> Option<Versions> {
     let mut parts = query.split('.').map(|part| part.parse().ok());
     let mut next = || parts.next().flatten();
     Some(Versions { config: next()?, roster: next()?, fleet: next()? })
 }
 
-fn belief(shared: &Shared, theirs: Versions) -> Belief {
+fn build_update(shared: &Shared, theirs: Versions) -> Belief {
     let versions = versions(shared);
     let (roster, fleet) = (shared.roster.borrow(), shared.fleet.borrow());
     let servers = || match roster.since(theirs.roster) {
         Some(changes) => Servers::Changes(changes),
         None => Servers::All(roster.changes()),
     };
-    let whole = roster.is_complete();
+    let complete = roster.is_complete();
     Belief {
         versions,
         config: shared.config().filter(|c| c.version > theirs.config).map(|c| (*c).clone()),
-        roster: (whole && versions.roster > theirs.roster).then(servers),
+        roster: (complete && versions.roster > theirs.roster).then(servers),
         fleet: (versions.fleet > theirs.fleet).then(|| fleet.registered()),
         settled: shared.fresh.borrow().settled(shared.now()),
         age: keys::held(shared).age.as_millis() as u64 + 1,
--- a/crates/daemon/src/gateway/digest.rs
+++ b/crates/daemon/src/gateway/digest.rs
@@ -1,24 +1,25 @@
-//! Digests of what requests ask for, the same at all gateways of a system.
+//! Keyed digests of request contents. All gateways of a system compute the same digest for the
+//! same request.
 
 use ebonyloft_router::content::Content;
 use hmac::{Hmac, Mac};
 use hyper::{Method, Uri};
 use sha2::Sha256;
 
-/// Makes digests under a key.
+/// Computes keyed digests (HMAC-SHA-256).
 pub struct Digester {
-    /// With the key taken in; cloned for each request.
+    /// Initialised with the key; cloned for each request.
     mac: Hmac<Sha256>,
 }
 
 impl Digester {
-    /// With a key that all gateways of the system share.
+    /// Creates a digester with the key that all gateways of the system share.
     pub fn new(key: &[u8]) -> Self {
-        Digester { mac: Hmac::new_from_slice(key).expect("a key of any length is taken") }
+        Digester { mac: Hmac::new_from_slice(key).expect("HMAC accepts keys of any length") }
     }
 
-    /// The digest of a request of the named account, empty for none. Each part is preceded by its length, so that none can pass for a part of
-    /// another one.
+    /// Digest of a request; `account` is empty if the request has none. Each part is preceded by
+    /// its length, so that two different requests never hash the same bytes.
     pub fn content(
         &self,
         account: &str,
--- a/crates/daemon/src/gateway/notes.rs
+++ b/crates/daemon/src/gateway/notes.rs
@@ -1,7 +1,8 @@
-//! What gateways know beside what the store says, told to all at once and compared later.
+//! Gossip state: what gateways know beside the store and exchange with each other.
 //!
-//! A datagram may be lost, a VM cut off, a process new: each tells a sum over what it knows with what it
-//! tells anyway, and whose sum differs for long is called.
+//! Changes are broadcast at once. A datagram may be lost, a VM cut off, or a process new, so each
+//! gateway also publishes a checksum of its gossip state with its regular messages. A peer whose
+//! checksum differs for long is asked for a full exchange.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,37 +18,37 @@
 use super::{limits, peers, quarantine, said};
 use crate::http;
 
-/// Path by which gateways compare notes.
+/// Path at which gateways exchange their gossip state.
 pub const PATH: &str = "/notes";
-/// Longest wait for a peer's notes.
-const WAIT: Duration = Duration::from_millis(500);
-/// Largest notes of a peer; twelve thousand contents take less.
-const BYTES_MAX: usize = 8 << 20;
-/// Words, lives that leave, or limits in one datagram.
-const ROWS_MAX: usize = 32;
-/// Pause until notes are told once more.
-const AGAIN: Duration = Duration::from_millis(120);
-
-/// Tells all gateways at once what happened here, and once more in case that a datagram is lost.
+/// Timeout of an exchange with a peer.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Largest body of an exchange; 12,000 quarantine records take less.
+const BODY_MAX: usize = 8 << 20;
+/// Largest number of records of one kind in a datagram.
+const RECORDS_MAX: usize = 32;
+/// Delay until a datagram is sent a second time.
+const RESEND_DELAY: Duration = Duration::from_millis(120);
+
+/// Broadcasts local changes to all gateways, each datagram twice in case that one is lost.
 pub async fn tell(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
     loop {
         let notes = shared.notes.take();
         if notes.is_empty() {
-            // Its sender lives as long as the process.
+            // The sender lives as long as the process, so this can't fail.
             let _ = shared.inquiries.wake().await;
             continue;
         }
-        for part in parts(notes) {
+        for part in split(notes) {
             let mut bytes = Vec::new();
             if let Err(e) = ciborium::into_writer(&News::Notes(part), &mut bytes) {
-                tracing::error!(error = %e, "notes not encoded");
+                tracing::error!(error = %e, "can't encode gossip state");
                 continue;
             }
             let bytes = Bytes::from(bytes);
             send(&shared, &socket, bytes.clone()).await;
             let (socket, shared) = (socket.clone(), shared.clone());
             compio::runtime::spawn(async move {
-                compio::time::sleep(AGAIN).await;
+                compio::time::sleep(RESEND_DELAY).await;
                 send(&shared, &socket, bytes).await;
             })
             .detach();
@@ -56,48 +57,49 @@
 }
 
 async fn send(shared: &Shared, socket: &UdpSocket, bytes: Bytes) {
-    peers::send(shared, socket, "gateway.bytes.notes", bytes, &everybody(shared)).await;
+    peers::send_datagram(shared, socket, "gateway.bytes.notes", bytes, &all_peers(shared)).await;
 }
 
-/// Notes that fit a datagram each.
-fn parts(notes: Notes) -> Vec<Notes> {
-    let words = notes.words.chunks(ROWS_MAX);
+/// Splits gossip state into parts that fit one datagram each.
+fn split(notes: Notes) -> Vec<Notes> {
+    let words = notes.words.chunks(RECORDS_MAX);
     let words = words.map(|words| Notes { words: words.to_vec(), ..Notes::default() });
-    let leaving = notes.leaving.chunks(ROWS_MAX);
+    let leaving = notes.leaving.chunks(RECORDS_MAX);
     let leaving = leaving.map(|leaving| Notes { leaving: leaving.to_vec(), ..Notes::default() });
-    let limits = notes.limits.chunks(ROWS_MAX);
+    let limits = notes.limits.chunks(RECORDS_MAX);
     let limits = limits.map(|limits| Notes { limits: limits.to_vec(), ..Notes::default() });
     words.chain(leaving).chain(limits).collect()
 }
 
-fn everybody(shared: &Shared) -> Vec<SocketAddr> {
+fn all_peers(shared: &Shared) -> Vec<SocketAddr> {
     let (node, fleet) = (shared.node(), shared.fleet.borrow());
     fleet.all().iter().filter(|(name, _)| **name != node.name).map(|(_, g)| g.addr).collect()
 }
 
-/// Takes what a peer told.
-pub fn take(shared: &Shared, notes: &Notes, peer: &str) {
+/// Applies gossip state received from a peer.
+pub fn apply(shared: &Shared, notes: &Notes, peer: &str) {
     notes.words.iter().for_each(|word| quarantine::take(shared, word, Some(peer)));
     notes.leaving.iter().for_each(|id| said::leaving(shared, id, peer));
     notes.limits.iter().for_each(|word| limits::hear(shared, word, peer));
 }
 
-/// A sum over what is known here, zero when nothing is.
-pub fn sum(shared: &Shared) -> u64 {
+/// Checksum of the gossip state; zero if the state is empty.
+pub fn checksum(shared: &Shared) -> u64 {
     let roster = shared.roster.borrow();
     let said = roster.said().fold(0, |sum, id| sum ^ id.number());
     shared.quarantine.borrow().sum() ^ said ^ shared.limits.borrow().sum()
 }
 
-/// A peer told the sum over what it knows: if it differs for long, notes are compared.
-pub fn compare(shared: &Rc<Shared>, peer: &str, from: SocketAddr, theirs: u64) {
-    let (now, same) = (shared.now(), theirs == sum(shared));
+/// Compares a peer's checksum with the own one, and starts an exchange if they have differed for
+/// long.
+pub fn compare_checksum(shared: &Rc<Shared>, peer: &str, from: SocketAddr, peer_checksum: u64) {
+    let (now, same) = (shared.now(), peer_checksum == checksum(shared));
     if shared.drift.borrow_mut().hear(now, peer, same) {
         compio::runtime::spawn(exchange(shared.clone(), from)).detach();
     }
 }
 
-fn all(shared: &Shared) -> Notes {
+fn full_state(shared: &Shared) -> Notes {
     let words = shared.quarantine.borrow().table(shared.now());
     let limits = shared.limits.borrow().table();
     Notes { words, leaving: shared.roster.borrow().said().cloned().collect(), limits }
@@ -105,16 +107,16 @@
 
 fn encode(shared: &Shared) -> Option<Vec<u8>> {
     let mut bytes = Vec::new();
-    ciborium::into_writer(&all(shared), &mut bytes)
-        .inspect_err(|e| tracing::error!(error = %e, "notes not encoded"))
+    ciborium::into_writer(&full_state(shared), &mut bytes)
+        .inspect_err(|e| tracing::error!(error = %e, "can't encode gossip state"))
         .ok()
         .map(|()| bytes)
 }
 
-fn take_all(shared: &Shared, bytes: &[u8], peer: &str) {
+fn apply_encoded(shared: &Shared, bytes: &[u8], peer: &str) {
     match ciborium::from_reader::<Notes, _>(bytes) {
-        Ok(notes) => take(shared, &notes, peer),
-        Err(e) => tracing::warn!(peer, error = %e, "notes unread"),
+        Ok(notes) => apply(shared, &notes, peer),
+        Err(e) => tracing::warn!(peer, error = %e, "can't decode gossip state of peer"),
     }
 }
 
@@ -125,20 +127,20 @@
     let mut req = Request::new(Bytes::from(bytes));
     *req.method_mut() = Method::POST;
     *req.uri_mut() = PATH.parse().expect("a fixed path is valid");
-    match shared.pool.call(peer, req, WAIT).await {
-        Ok((StatusCode::OK, body)) => take_all(&shared, &body, &peer.to_string()),
-        Ok((status, _)) => tracing::debug!(%peer, %status, "peer has no notes"),
-        Err(e) => tracing::debug!(%peer, error = %e, "notes not compared"),
+    match shared.pool.call(peer, req, EXCHANGE_TIMEOUT).await {
+        Ok((StatusCode::OK, body)) => apply_encoded(&shared, &body, &peer.to_string()),
+        Ok((status, _)) => tracing::debug!(%peer, %status, "peer refused to exchange gossip state"),
+        Err(e) => tracing::debug!(%peer, error = %e, "can't exchange gossip state with peer"),
     }
 }
 
-/// Answers a peer that compares notes.
-pub async fn answer(shared: Rc<Shared>, req: Request<Incoming>) -> Response<http::Body> {
+/// Answers a peer's exchange: applies its state and returns the own one.
+pub async fn handle_exchange(shared: Rc<Shared>, req: Request<Incoming>) -> Response<http::Body> {
     let refuse = |status| http::response(status, "text/plain", http::full(""));
-    let Some(body) = http::read_body(req.into_body(), BYTES_MAX).await else {
+    let Some(body) = http::read_body(req.into_body(), BODY_MAX).await else {
         return refuse(StatusCode::BAD_REQUEST);
     };
-    take_all(&shared, &body, "peer");
+    apply_encoded(&shared, &body, "peer");
     match encode(&shared) {
         Some(bytes) => http::response(StatusCode::OK, "application/cbor", http::full(bytes)),
         None => refuse(StatusCode::INTERNAL_SERVER_ERROR),
--- a/crates/daemon/src/gateway/orders.rs
+++ b/crates/daemon/src/gateway/orders.rs
@@ -1,7 +1,7 @@
-//! Orders to engines: how many read prompts, how many write answers.
+//! Orders to engines: which ones are prefill engines and which ones decode engines.
 //!
-//! One gateway holds the right to order; the others stand by. The right is a key under a lease, its
-//! fencing token a number that grows with each holder and is kept for good.
+//! One gateway is the leader and sends the orders; the others stand by. Leadership is a store key
+//! under a lease. Its fencing token is a number that grows with each leader and is never reset.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -19,61 +19,64 @@
 use super::said;
 use super::shared::Shared;
 
-/// Key of the right; it exists for as long as its holder's lease.
+/// Key of the leader lock; it exists for as long as the leader's lease.
 pub const LOCK_KEY: &str = "ebonyloft/orders/lock";
-/// Key of the record of holders.
-const RECORD_KEY: &str = "ebonyloft/orders/record";
-/// Pause between two looks at the engines.
-const LOOK: Duration = Duration::from_millis(400);
-/// How long the list of backend servers must have stood still: at the start they register within a
-/// second, and the shares of a list that is half there mean nothing.
-const QUIET: Duration = Duration::from_millis(1_000);
-/// Longest wait for an engine's answer to an order; less than what is left of the lease.
-const ORDER_WAIT: Duration = Duration::from_millis(600);
-/// Pause after which a gateway that failed to get the right tries again, when it looks free.
-const TRY_AGAIN: Duration = Duration::from_millis(1_500);
+/// Key of the leader record, which holds the last fencing token.
+const LEADER_RECORD_KEY: &str = "ebonyloft/orders/record";
+/// Interval at which the engines' stages are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(400);
+/// How long the server registry must have been unchanged before orders are sent. Backend servers
+/// register within a second of a start, and stage ratios of a half-filled registry mean nothing.
+const REGISTRY_QUIET: Duration = Duration::from_millis(1_000);
+/// Timeout of an order; less than what is left of the lease when an order is sent.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(600);
+/// Delay before the next attempt after a failed one to acquire leadership.
+const RETRY_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Takes the right when it is free, keeps it, and orders.
+/// Acquires leadership when it is free, then renews it and sends orders.
 pub async fn run(shared: Rc<Shared>) {
     let mut planner = Planner::default();
     loop {
-        compio::time::sleep(LOOK.mul_f64(0.8 + 0.4 * shared.draw())).await;
-        if shared.is_stopping() || !may_hold(&shared) || !shared.lock_free.get() {
+        compio::time::sleep(CHECK_INTERVAL.mul_f64(0.8 + 0.4 * shared.draw())).await;
+        if shared.is_stopping() || !is_eligible(&shared) || !shared.lock_free.get() {
             continue;
         }
-        match take(&shared).await {
+        match acquire(&shared).await {
             Ok(Some(held)) => {
-                tracing::info!(fence = held.fence, "this process orders engines");
-                hold(&shared, &mut planner, held).await;
+                tracing::info!(
+                    fence = held.fence,
+                    "leadership acquired: this gateway orders engines"
+                );
+                lead(&shared, &mut planner, held).await;
             }
-            Ok(None) => compio::time::sleep(TRY_AGAIN).await,
+            Ok(None) => compio::time::sleep(RETRY_DELAY).await,
             Err(e) => {
-                tracing::info!(error = %e, "right to order not taken");
-                compio::time::sleep(TRY_AGAIN.mul_f64(0.5 + shared.draw())).await;
+                tracing::info!(error = %e, "can't acquire leadership");
+                compio::time::sleep(RETRY_DELAY.mul_f64(0.5 + shared.draw())).await;
             }
         }
     }
 }
 
-/// Does this gateway follow the store, and is there any service whose engines have stages? Others don't
-/// know whether the right is free.
-fn may_hold(shared: &Shared) -> bool {
+/// True if this gateway follows the store and any service has engines with stages. A gateway that
+/// does not follow the store can't tell whether leadership is free.
+fn is_eligible(shared: &Shared) -> bool {
     shared.role.borrow().follows()
         && shared.config().is_some_and(|c| c.services.iter().any(|s| s.engine.is_some()))
         && shared.roster.borrow().is_complete()
 }
 
-async fn take(shared: &Shared) -> Result<Option<Held>, StoreError> {
+async fn acquire(shared: &Shared) -> Result<Option<Held>, StoreError> {
     if shared.store.get(LOCK_KEY).await?.is_some() {
         shared.lock_free.set(false);
         return Ok(None);
     }
-    let before = shared.store.get(RECORD_KEY).await?;
+    let before = shared.store.get(LEADER_RECORD_KEY).await?;
     let revision = before.as_ref().map_or(0, |i| i.revision);
     let first = before.is_none();
     let record = match before.and_then(|i| i.value) {
         Some(value) => serde_json::from_slice::<Record>(&value).map_err(|e| {
-            StoreError::Unknown { detail: format!("the record of holders is unreadable: {e}") }
+            StoreError::Unknown { detail: format!("can't decode the leader record: {e}") }
         })?,
         None => Record::default(),
     };
@@ -84,9 +87,9 @@
     let value = serde_json::to_vec(&next).expect("plain strings and numbers serialise");
     let writes = [
         Write { key: LOCK_KEY, value: &value, lease: lease.id },
-        Write { key: RECORD_KEY, value: &value, lease: 0 },
+        Write { key: LEADER_RECORD_KEY, value: &value, lease: 0 },
     ];
-    match shared.store.txn(&[(LOCK_KEY, 0), (RECORD_KEY, revision)], &writes).await {
+    match shared.store.txn(&[(LOCK_KEY, 0), (LEADER_RECORD_KEY, revision)], &writes).await {
         Ok(_) => {
             let gap = shared.node().bounds.order_gap;
             let now = shared.now();
@@ -97,53 +100,55 @@
     }
 }
 
-/// Keeps the right and orders until it is lost.
-async fn hold(shared: &Shared, planner: &mut Planner, held: Held) {
-    keep_and_order(shared, planner, held).await;
+/// Renews leadership and sends orders until leadership is lost.
+async fn lead(shared: &Shared, planner: &mut Planner, held: Held) {
+    renew_and_order(shared, planner, held).await;
     shared.changing.borrow_mut().clear();
 }
 
-async fn keep_and_order(shared: &Shared, planner: &mut Planner, mut held: Held) {
+async fn renew_and_order(shared: &Shared, planner: &mut Planner, mut held: Held) {
     let mut renew_at = shared.now().after(holder::RENEW);
     loop {
-        compio::time::sleep(LOOK).await;
+        compio::time::sleep(CHECK_INTERVAL).await;
         let now = shared.now();
         if shared.is_stopping() {
-            return give_up(shared, held).await;
+            return release(shared, held).await;
         }
         if now >= renew_at {
             renew_at = now.after(holder::RENEW);
             match shared.store.keep(held.lease).await {
                 Ok(_) => held.renewed(now),
                 Err(StoreError::Missing) => {
-                    return tracing::info!(fence = held.fence, "right lapsed");
+                    return tracing::info!(fence = held.fence, "leadership lease expired");
+                }
+                Err(e) => {
+                    tracing::info!(fence = held.fence, error = %e, "can't renew leadership lease")
                 }
-                Err(e) => tracing::info!(fence = held.fence, error = %e, "right not renewed"),
             }
         }
         let now = shared.now();
         if held.lapsed(now) {
-            return tracing::info!(fence = held.fence, "right may have lapsed");
+            return tracing::info!(fence = held.fence, "leadership lease may have expired");
         }
         shared.rest(&shared.changing.borrow());
         if held.may_order(now)
-            && let Some((order, server)) = next(shared, planner, &held)
+            && let Some((order, server)) = next_order(shared, planner, &held)
         {
             send(shared, order, server, planner).await;
         }
     }
 }
 
-async fn give_up(shared: &Shared, held: Held) {
+async fn release(shared: &Shared, held: Held) {
     if let Err(e) = shared.store.end(held.lease).await {
-        tracing::info!(fence = held.fence, error = %e, "right not given back; it lapses");
+        tracing::info!(fence = held.fence, error = %e, "can't revoke leadership lease; it expires by itself");
     }
 }
 
-fn next(shared: &Shared, planner: &mut Planner, held: &Held) -> Option<(Order, Server)> {
+fn next_order(shared: &Shared, planner: &mut Planner, held: &Held) -> Option<(Order, Server)> {
     let config = shared.config()?;
     let roster = shared.roster.borrow();
-    if shared.now() < roster.changed_at().after(QUIET) {
+    if shared.now() < roster.changed_at().after(REGISTRY_QUIET) {
         return None;
     }
     for service in &config.services {
@@ -173,7 +178,8 @@
     None
 }
 
-/// Engines of a service by who places at them: all, or those of each zone.
+/// Groups a service's engines by the gateways that place requests there: one group, or one for
+/// each zone.
 fn groups<'a>(shared: &Shared, roster: &'a Roster, service: &'a str) -> Vec<Vec<&'a Server>> {
     let scope = shared.scope();
     let mut groups: BTreeMap<&str, Vec<&Server>> = BTreeMap::new();
@@ -193,19 +199,19 @@
         planner.refused(&order.to);
         return;
     }
-    let answer = said::call(shared, &server, req, ORDER_WAIT).await;
+    let reply = said::call(shared, &server, req, ORDER_TIMEOUT).await;
     let (to, stage): (&ServerId, Stage) = (&order.to, order.stage);
-    match answer {
+    match reply {
         Ok((status, _)) => {
-            let word = engine::read_order(status);
-            tracing::info!(server = %to, ?stage, fence = order.fence, ?word, "order");
-            if matches!(word, Ordered::Busy | Ordered::Failed(_) | Ordered::Moved) {
+            let result = engine::read_order(status);
+            tracing::info!(server = %to, ?stage, fence = order.fence, word = ?result, "order answered");
+            if matches!(result, Ordered::Busy | Ordered::Failed(_) | Ordered::Moved) {
                 planner.refused(to);
             }
         }
-        // It may be carried out late; the list of backend servers tells.
+        // The engine may still carry the order out; the server registry will show it.
         Err(e) => {
-            tracing::info!(server = %to, ?stage, fence = order.fence, error = %e, "order unanswered");
+            tracing::info!(server = %to, ?stage, fence = order.fence, error = %e, "order not answered");
         }
     }
 }
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -1,7 +1,9 @@
-//! Gateways among themselves: what work each has at engines, and what one has heard that another one
-//! has not.
+//! Messages between gateways: load reports, zone summaries, gossip state, and questions about
+//! quotas and configurations.
 //!
-//! Both are told by datagram several times a second; what is newer elsewhere is then fetched.
+//! Load reports and zone summaries are sent as datagrams several times a second and carry the
+//! versions of the sender's state. A gateway that sees a newer version at a peer fetches it from
+//! there.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -27,36 +29,36 @@
 use super::stream::{self, lend, spill};
 use crate::http;
 
-/// While there is no work only each second datagram is sent: often enough to count as live.
+/// An idle gateway sends only each second load report, which is often enough to count as live.
 const IDLE_ROUNDS: u64 = 2;
-/// Shortest pause between two datagrams, as a part of the usual one: news is told at once unless
-/// there was some just before. An engine's last place is otherwise given away twice in the meantime,
-/// and one of both callers waits or is refused.
-const GAP_PART: f64 = 0.2;
-/// Longest pause beyond that without news, as a part of the usual one: answers grow meanwhile, by
-/// some fifty tokens each.
-const REST_PART: f64 = 1.6;
+/// Shortest pause between two load reports, as a factor of the usual interval. A change is
+/// reported at once unless a report was sent just before; without that, two gateways reserve an
+/// engine's last memory, and one of both callers waits or is refused.
+const MIN_PAUSE_FACTOR: f64 = 0.2;
+/// Longest pause beyond that without changes, as a factor of the usual interval: answers grow by
+/// some fifty tokens each in that time.
+const IDLE_PAUSE_FACTOR: f64 = 1.6;
 /// Largest datagram.
 const DATAGRAM_MAX: usize = 8 << 10;
 
-/// Tells peers what work there is here.
+/// Sends load reports to the gateways that use the same engines.
 pub async fn tell(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
-    let life = shared.now().0;
+    let incarnation = shared.now().0;
     let mut seq = 0;
-    let mut passed_at = Timestamp::default();
+    let mut summaries_sent_at = Timestamp::default();
     loop {
-        let peers = peers(&shared);
-        let pause = share::pause(peers.len());
-        compio::time::sleep(pause.mul_f64(GAP_PART)).await;
-        let rest = std::pin::pin!(compio::time::sleep(pause.mul_f64(REST_PART)));
-        select(shared.news(), rest).await;
+        let recipients = report_recipients(&shared);
+        let pause = share::pause(recipients.len());
+        compio::time::sleep(pause.mul_f64(MIN_PAUSE_FACTOR)).await;
+        let idle_pause = std::pin::pin!(compio::time::sleep(pause.mul_f64(IDLE_PAUSE_FACTOR)));
+        select(shared.news(), idle_pause).await;
         shared.told();
         seq += 1;
-        let mut share = own_share(&shared, life, seq);
-        // News of work comes several times as often as digests do.
+        let mut share = own_report(&shared, incarnation, seq);
+        // Load reports are sent several times as often as zone summaries are passed on.
         let now = shared.now();
-        if now.since(passed_at) >= DIGEST_PAUSE && shared.role.borrow().follows() {
-            passed_at = now;
+        if now.since(summaries_sent_at) >= DIGEST_PAUSE && shared.role.borrow().follows() {
+            summaries_sent_at = now;
             share.digests = shared.digests.borrow().passed_on(now).cloned().collect();
         }
         let idle = share.work.is_empty() && share.waiting == 0 && share.changing.is_empty();
@@ -65,30 +67,31 @@
         }
         let mut bytes = Vec::new();
         if let Err(e) = ciborium::into_writer(&News::Share(share), &mut bytes) {
-            tracing::error!(error = %e, "share not encoded");
+            tracing::error!(error = %e, "can't encode load report");
             continue;
         }
-        send(&shared, &socket, "gateway.bytes.work", Bytes::from(bytes), &peers).await;
+        send_datagram(&shared, &socket, "gateway.bytes.work", Bytes::from(bytes), &recipients)
+            .await;
     }
 }
 
-/// Sends what is meant for single peers.
+/// Sends the messages that are meant for a single peer.
 pub async fn post(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
-    let Some(mut letters) = shared.letters() else {
+    let Some(mut messages) = shared.letters() else {
         return;
     };
-    while let Some((to, news)) = letters.next().await {
+    while let Some((to, news)) = messages.next().await {
         let mut bytes = Vec::new();
         if let Err(e) = ciborium::into_writer(&news, &mut bytes) {
-            tracing::error!(error = %e, "letter not encoded");
+            tracing::error!(error = %e, "can't encode message to peer");
             continue;
         }
-        send(&shared, &socket, "gateway.bytes.letters", Bytes::from(bytes), &[to]).await;
+        send_datagram(&shared, &socket, "gateway.bytes.letters", Bytes::from(bytes), &[to]).await;
     }
 }
 
-/// Sends a datagram to some; its bytes are counted under `counter`.
-pub async fn send(
+/// Sends a datagram to each address in `to`; `counter` counts its bytes.
+pub async fn send_datagram(
     shared: &Shared,
     socket: &UdpSocket,
     counter: &'static str,
@@ -99,23 +102,23 @@
     for addr in to {
         let compio::BufResult(sent, _) = socket.send_to(bytes.clone(), *addr).await;
         if let Err(e) = sent {
-            tracing::debug!(%addr, error = %e, "datagram not sent");
+            tracing::debug!(%addr, error = %e, "can't send datagram");
         }
     }
 }
 
-/// Who is told of the work here: those who place at the same engines, and all while engines that may be
-/// theirs are changing their stage.
-fn peers(shared: &Shared) -> Vec<SocketAddr> {
+/// Addresses that load reports go to: the gateways that use the same engines, or all gateways
+/// while engines that may be theirs are changing their stage.
+fn report_recipients(shared: &Shared) -> Vec<SocketAddr> {
     let (node, fleet) = (shared.node(), shared.fleet.borrow());
     let all = shared.scope() == Scope::All || !shared.changing.borrow().is_empty();
     let others = fleet.all().iter().filter(|(name, _)| **name != node.name);
     others.filter(|(_, g)| all || g.zone == node.zone).map(|(_, g)| g.addr).collect()
 }
 
-/// Tells other zones of this one, for as long as this gateway is a delegate.
+/// Sends summaries of this zone to other zones while this gateway is a zone leader.
 pub async fn tell_zones(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
-    let life = shared.now().0;
+    let incarnation = shared.now().0;
     let mut seq = 0;
     loop {
         compio::time::sleep(DIGEST_PAUSE).await;
@@ -123,44 +126,45 @@
             continue;
         }
         seq += 1;
-        let digest = own_digest(&shared, life, seq);
+        let digest = own_summary(&shared, incarnation, seq);
         let mut bytes = Vec::new();
         if let Err(e) = ciborium::into_writer(&News::Digest(digest), &mut bytes) {
-            tracing::error!(error = %e, "digest not encoded");
+            tracing::error!(error = %e, "can't encode zone summary");
             continue;
         }
-        let to = delegates(&shared);
-        send(&shared, &socket, "gateway.bytes.digests", Bytes::from(bytes), &to).await;
+        let to = leaders_of_other_zones(&shared);
+        send_datagram(&shared, &socket, "gateway.bytes.digests", Bytes::from(bytes), &to).await;
     }
 }
 
-/// Those who speak for other zones: as they rank, and who was heard lately.
-fn delegates(shared: &Shared) -> Vec<SocketAddr> {
+/// Addresses of the leaders of other zones: those that rank first, and those that sent a summary
+/// lately.
+fn leaders_of_other_zones(shared: &Shared) -> Vec<SocketAddr> {
     let (node, fleet, digests) = (shared.node(), shared.fleet.borrow(), shared.digests.borrow());
-    let heard = digests.passed_on(shared.now()).map(|d| d.addr);
+    let senders = digests.passed_on(shared.now()).map(|d| d.addr);
     let ranked = fleet.delegates().filter(|g| g.zone != node.zone).map(|g| g.addr);
-    let all: BTreeSet<SocketAddr> = heard.chain(ranked).collect();
+    let all: BTreeSet<SocketAddr> = senders.chain(ranked).collect();
     all.into_iter().collect()
 }
 
-fn own_digest(shared: &Shared, life: u64, seq: u64) -> Digest {
+fn own_summary(shared: &Shared, incarnation: u64, seq: u64) -> Digest {
     let node = shared.node();
     let Versions { config, roster, fleet } = belief::versions(shared);
     Digest {
         name: node.name.clone(),
         zone: node.zone.clone(),
         addr: (node.ip, node.peer_port).into(),
-        life,
+        life: incarnation,
         seq,
         config,
         roster,
         fleet,
-        notes: notes::sum(shared),
-        rooms: rooms(shared),
+        notes: notes::checksum(shared),
+        rooms: capacities(shared),
     }
 }
 
-fn rooms(shared: &Shared) -> Vec<Room> {
+fn capacities(shared: &Shared) -> Vec<Room> {
     let Some(config) = shared.config() else {
         return Vec::new();
     };
@@ -168,73 +172,73 @@
     engines.map(|(name, spec)| stream::room(shared, name, spec)).collect()
 }
 
-fn own_share(shared: &Shared, life: u64, seq: u64) -> Share {
+fn own_report(shared: &Shared, incarnation: u64, seq: u64) -> Share {
     let engines = shared.engines.borrow();
     let Versions { config, roster, fleet } = belief::versions(shared);
     Share {
         name: shared.node().name.clone(),
-        life,
+        life: incarnation,
         seq,
         config,
         roster,
         fleet,
-        link: link(shared),
+        link: store_link(shared),
         waiting: engines.waiting() as u32,
         changing: shared.changing.borrow().clone(),
         work: engines.work(),
-        notes: notes::sum(shared),
+        notes: notes::checksum(shared),
         missing: quota::missing(shared),
         digests: Vec::new(),
     }
 }
 
-/// How this gateway hears of the store, for its peers; one that has not read the whole list yet is no
-/// help to them.
-fn link(shared: &Shared) -> Link {
-    let helps = shared.role.borrow().follows() && shared.roster.borrow().is_complete();
-    match helps {
+/// This gateway's access to the store, as its peers see it. A gateway that has not read the whole
+/// server registry yet is of no use to them.
+fn store_link(shared: &Shared) -> Link {
+    let is_useful = shared.role.borrow().follows() && shared.roster.borrow().is_complete();
+    match is_useful {
         true => shared.fresh.borrow().link(shared.now(), shared.node().bounds.silence()),
         false => Link::Indirect,
     }
 }
 
-/// Hears peers.
+/// Receives datagrams from peers.
 pub async fn hear(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
     let mut buffer = Vec::with_capacity(DATAGRAM_MAX);
     loop {
         buffer.clear();
-        let compio::BufResult(received, back) = socket.recv_from(buffer).await;
-        buffer = back;
+        let compio::BufResult(received, returned) = socket.recv_from(buffer).await;
+        buffer = returned;
         let (len, from) = match received {
             Ok(received) => received,
             Err(e) => {
-                tracing::debug!(error = %e, "datagram not received");
+                tracing::debug!(error = %e, "can't receive datagram");
                 compio::time::sleep(share::TELL).await;
                 continue;
             }
         };
         match ciborium::from_reader::<News, _>(&buffer[..len]) {
-            Ok(News::Share(share)) => take(&shared, from, share),
+            Ok(News::Share(share)) => on_load_report(&shared, from, share),
             Ok(News::Digest(digest)) => {
                 let Digest { config, roster, fleet, .. } = digest;
-                notes::compare(&shared, &digest.name, from, digest.notes);
+                notes::compare_checksum(&shared, &digest.name, from, digest.notes);
                 shared.digests.borrow_mut().hear(shared.now(), digest);
-                belief::compare(&shared, from, Versions { config, roster, fleet });
+                belief::fetch_newer(&shared, from, Versions { config, roster, fleet });
             }
             Ok(News::Ask(ask)) => quota::serve(&shared, from, &ask),
             Ok(News::Answer(answer)) => quota::hear(&shared, answer),
             Ok(News::Unused(key, tokens)) => quota::take_back(&shared, &key, tokens),
             Ok(News::Age(number)) => keys::tell_age(&shared, from, number),
             Ok(News::Held(number, version, age)) => keys::hear_age(&shared, number, version, age),
-            Ok(News::Notes(heard)) => notes::take(&shared, &heard, &from.to_string()),
-            Err(e) => tracing::warn!(%from, len, error = %e, "datagram unread"),
+            Ok(News::Notes(senders)) => notes::apply(&shared, &senders, &from.to_string()),
+            Err(e) => tracing::warn!(%from, len, error = %e, "can't decode datagram"),
         }
     }
 }
 
-fn take(shared: &Rc<Shared>, from: SocketAddr, share: Share) {
+fn on_load_report(shared: &Rc<Shared>, from: SocketAddr, share: Share) {
     let Share { config, roster, fleet, .. } = share;
-    notes::compare(shared, &share.name, from, share.notes);
+    notes::compare_checksum(shared, &share.name, from, share.notes);
     shared.rest(&share.changing);
     let mut share = share;
     for digest in share.digests.drain(..).filter(|d| d.zone != shared.node().zone) {
@@ -242,22 +246,22 @@
     }
     shared.shares.borrow_mut().hear(shared.now(), share);
     shared.judge_role();
-    belief::compare(shared, from, Versions { config, roster, fleet });
+    belief::fetch_newer(shared, from, Versions { config, roster, fleet });
 }
 
-/// Answers peers.
+/// Serves HTTP requests of peers.
 pub async fn serve(shared: Rc<Shared>, listener: TcpListener) {
-    let handler = move |req| answer(shared.clone(), req);
+    let handler = move |req| handle(shared.clone(), req);
     http::serve(listener, handler, Rc::new(std::cell::Cell::new(false))).await;
 }
 
-async fn answer(shared: Rc<Shared>, req: Request<Incoming>) -> Response<http::Body> {
+async fn handle(shared: Rc<Shared>, req: Request<Incoming>) -> Response<http::Body> {
     let path = req.uri().path();
     if path.starts_with(spill::PATH) {
         return lend::serve(shared, req).await;
     }
     match path {
-        notes::PATH => notes::answer(shared, req).await,
+        notes::PATH => notes::handle_exchange(shared, req).await,
         belief::PATH => belief::answer(&shared, req.uri().query()),
         _ => http::response(StatusCode::NOT_FOUND, "text/plain", http::full("not here\n")),
     }
--- a/crates/daemon/src/gateway/register.rs
+++ b/crates/daemon/src/gateway/register.rs
@@ -1,4 +1,4 @@
-//! This gateway's registration in the store, and those of the others.
+//! This gateway's registration in the store, and the registrations of the other gateways.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -13,26 +13,26 @@
 
 /// Prefix of the system's own keys.
 pub const PREFIX: &str = "ebonyloft/";
-/// Prefix of the registrations.
-const GATEWAYS: &str = "ebonyloft/gateways/";
-/// Lease of a registration: three renewals and a short outage.
-const LEASE: Duration = Duration::from_secs(10);
-/// Pause between renewals.
-const RENEW: Duration = Duration::from_secs(3);
+/// Prefix of gateway registrations.
+const GATEWAY_PREFIX: &str = "ebonyloft/gateways/";
+/// Lease of a registration: three renewals and a short outage of the store.
+const LEASE_TTL: Duration = Duration::from_secs(10);
+/// Interval between renewals.
+const RENEW_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Takes the registrations of all gateways.
+/// Receives store items under [`PREFIX`]: gateway registrations and the leader lock.
 pub struct FleetSink(pub Rc<Shared>);
 
 impl Sink for FleetSink {
     fn replace(&self, items: Vec<Item>, revision: u64) {
         let locked = items.iter().any(|i| i.key == orders::LOCK_KEY && i.value.is_some());
         self.0.lock_free.set(!locked);
-        let named = |item: &Item| {
-            let name = item.key.strip_prefix(GATEWAYS)?.to_owned();
+        let parse = |item: &Item| {
+            let name = item.key.strip_prefix(GATEWAY_PREFIX)?.to_owned();
             Some((name, decode(item)?))
         };
-        let list: BTreeMap<String, Gateway> = items.iter().filter_map(named).collect();
-        tracing::info!(count = list.len(), revision, "gateways");
+        let list: BTreeMap<String, Gateway> = items.iter().filter_map(parse).collect();
+        tracing::info!(count = list.len(), revision, "list of gateways loaded");
         self.0.fleet.borrow_mut().replace(self.0.now(), list, revision);
     }
 
@@ -41,58 +41,63 @@
             self.0.lock_free.set(item.value.is_none());
             return;
         }
-        let Some(name) = item.key.strip_prefix(GATEWAYS) else {
+        let Some(name) = item.key.strip_prefix(GATEWAY_PREFIX) else {
             return;
         };
         let gateway = decode(&item);
-        tracing::info!(peer = name, live = gateway.is_some(), revision = item.revision, "peer");
+        tracing::info!(
+            peer = name,
+            live = gateway.is_some(),
+            revision = item.revision,
+            "gateway registration changed"
+        );
         self.0.fleet.borrow_mut().apply(self.0.now(), name, gateway, item.revision);
         self.0.note_news();
     }
 }
 
-/// What a registration says; none when it is gone or another writer's.
+/// Decodes a registration; none if it was removed or is not valid.
 fn decode(item: &Item) -> Option<Gateway> {
     let value = item.value.as_deref()?;
     match serde_json::from_slice(value) {
         Ok(gateway) => Some(gateway),
         Err(e) => {
             let revision = item.revision;
-            tracing::warn!(key = item.key, revision, error = %e, "registration names no gateway");
+            tracing::warn!(key = item.key, revision, error = %e, "can't decode gateway registration");
             None
         }
     }
 }
 
-/// Keeps this gateway registered.
+/// Registers this gateway and keeps the registration alive.
 pub async fn keep(shared: Rc<Shared>) {
     let node = shared.node();
-    let key = format!("{GATEWAYS}{}", node.name);
+    let key = format!("{GATEWAY_PREFIX}{}", node.name);
     let addr = (node.ip, node.peer_port).into();
     let gateway = Gateway { addr, zone: node.zone.clone(), power: node.power };
-    let value = serde_json::to_vec(&gateway).expect("an address and a name serialise");
+    let value = serde_json::to_vec(&gateway).expect("an address and strings serialise");
     let mut lease = None;
     loop {
         let step = match lease {
             Some(id) => shared.store.keep(id).await.map(|_| id),
-            None => enter(&shared, &key, &value).await,
+            None => register(&shared, &key, &value).await,
         };
         match step {
             Ok(id) => lease = Some(id),
             Err(e) => {
-                tracing::debug!(error = %e, "registration not renewed");
+                tracing::debug!(error = %e, "can't renew registration");
                 if matches!(e, StoreError::Missing) {
                     lease = None;
                     continue;
                 }
             }
         }
-        compio::time::sleep(RENEW.mul_f64(0.9 + 0.2 * shared.draw())).await;
+        compio::time::sleep(RENEW_INTERVAL.mul_f64(0.9 + 0.2 * shared.draw())).await;
     }
 }
 
-async fn enter(shared: &Shared, key: &str, value: &[u8]) -> Result<u64, StoreError> {
-    let lease = shared.store.lease(LEASE).await?;
+async fn register(shared: &Shared, key: &str, value: &[u8]) -> Result<u64, StoreError> {
+    let lease = shared.store.lease(LEASE_TTL).await?;
     shared.store.txn(&[], &[Write { key, value, lease: lease.id }]).await?;
     Ok(lease.id)
 }
