--- a/crates/daemon/src/gateway/belief.rs
+++ b/crates/daemon/src/gateway/belief.rs
@@ -17,7 +17,7 @@
 
 use super::keys;
 use super::shared::Shared;
-use super::watch::note_effect;
+use super::watch::apply_effect;
 use crate::http;
 
 /// Timeout of a fetch from a peer, and of each part of the response body.
@@ -67,9 +67,9 @@
     // A zone leader gets its lists from the store. It still fetches them from a peer that has been
     // ahead for a while: the store may be silent to this gateway alone, which it notices only when
     // a watch times out.
-    let follows_store = shared.role.borrow().leads() && !shared.fresh.borrow().is_away();
-    let behind = shared.pulls.borrow_mut().is_behind(shared.now(), own, theirs);
-    if own.lacks(Part::Lists, theirs) && (!follows_store || behind) {
+    let uses_store = shared.role.borrow().leads() && !shared.fresh.borrow().is_away();
+    let behind = shared.fetches.borrow_mut().is_behind(shared.now(), own, theirs);
+    if own.lacks(Part::Lists, theirs) && (!uses_store || behind) {
         start_fetch(shared, from, Part::Lists, own);
     }
     if own.lacks(Part::Config, theirs) {
@@ -78,7 +78,7 @@
 }
 
 fn start_fetch(shared: &Rc<Shared>, from: SocketAddr, part: Part, own: Versions) {
-    if shared.pulls.borrow_mut().begin(shared.now(), part, from) {
+    if shared.fetches.borrow_mut().begin(shared.now(), part, from) {
         compio::runtime::spawn(fetch_part(shared.clone(), from, part, own)).detach();
     }
 }
@@ -86,7 +86,7 @@
 async fn fetch_part(shared: Rc<Shared>, from: SocketAddr, part: Part, own: Versions) {
     let sent_at = shared.now();
     let update = request_state(&shared, from, own.asking(part)).await;
-    shared.pulls.borrow_mut().end(shared.now(), part, update.is_some());
+    shared.fetches.borrow_mut().end(shared.now(), part, update.is_some());
     if let Some(update) = update {
         let theirs =
             Held { version: update.versions.config, age: Duration::from_millis(update.age) };
@@ -120,7 +120,7 @@
 fn apply(shared: &Shared, from: SocketAddr, update: Belief) {
     if let Some(config) = update.config {
         let version = config.version;
-        if shared.offer(config) {
+        if shared.apply_config(config) {
             tracing::info!(version, peer = %from, "configuration in force");
         }
     }
@@ -143,9 +143,9 @@
         }
     };
     for (name, effect) in effects {
-        note_effect(shared, &name, effect, revision);
+        apply_effect(shared, &name, effect, revision);
     }
-    shared.note_news();
+    shared.request_report();
     shared.wake_all();
 }
 
--- a/crates/daemon/src/gateway/orders.rs
+++ b/crates/daemon/src/gateway/orders.rs
@@ -38,16 +38,16 @@
     let mut planner = Planner::default();
     loop {
         compio::time::sleep(CHECK_INTERVAL.mul_f64(0.8 + 0.4 * shared.draw())).await;
-        if shared.is_stopping() || !is_eligible(&shared) || !shared.lock_free.get() {
+        if shared.is_stopping() || !is_eligible(&shared) || !shared.lock_available.get() {
             continue;
         }
         match acquire(&shared).await {
-            Ok(Some(held)) => {
+            Ok(Some(leadership)) => {
                 tracing::info!(
-                    fence = held.fence,
+                    fence = leadership.fence,
                     "leadership acquired: this gateway orders engines"
                 );
-                lead(&shared, &mut planner, held).await;
+                lead(&shared, &mut planner, leadership).await;
             }
             Ok(None) => compio::time::sleep(RETRY_DELAY).await,
             Err(e) => {
@@ -68,7 +68,7 @@
 
 async fn acquire(shared: &Shared) -> Result<Option<Held>, StoreError> {
     if shared.store.get(LOCK_KEY).await?.is_some() {
-        shared.lock_free.set(false);
+        shared.lock_available.set(false);
         return Ok(None);
     }
     let before = shared.store.get(LEADER_RECORD_KEY).await?;
@@ -101,51 +101,55 @@
 }
 
 /// Renews leadership and sends orders until leadership is lost.
-async fn lead(shared: &Shared, planner: &mut Planner, held: Held) {
-    renew_and_order(shared, planner, held).await;
-    shared.changing.borrow_mut().clear();
+async fn lead(shared: &Shared, planner: &mut Planner, leadership: Held) {
+    renew_and_order(shared, planner, leadership).await;
+    shared.changing_engines.borrow_mut().clear();
 }
 
-async fn renew_and_order(shared: &Shared, planner: &mut Planner, mut held: Held) {
+async fn renew_and_order(shared: &Shared, planner: &mut Planner, mut leadership: Held) {
     let mut renew_at = shared.now().after(holder::RENEW);
     loop {
         compio::time::sleep(CHECK_INTERVAL).await;
         let now = shared.now();
         if shared.is_stopping() {
-            return release(shared, held).await;
+            return release(shared, leadership).await;
         }
         if now >= renew_at {
             renew_at = now.after(holder::RENEW);
-            match shared.store.keep(held.lease).await {
-                Ok(_) => held.renewed(now),
+            match shared.store.renew(leadership.lease).await {
+                Ok(_) => leadership.renewed(now),
                 Err(StoreError::Missing) => {
-                    return tracing::info!(fence = held.fence, "leadership lease expired");
+                    return tracing::info!(fence = leadership.fence, "leadership lease expired");
                 }
                 Err(e) => {
-                    tracing::info!(fence = held.fence, error = %e, "can't renew leadership lease")
+                    tracing::info!(fence = leadership.fence, error = %e, "can't renew leadership lease")
                 }
             }
         }
         let now = shared.now();
-        if held.lapsed(now) {
-            return tracing::info!(fence = held.fence, "leadership lease may have expired");
+        if leadership.lapsed(now) {
+            return tracing::info!(fence = leadership.fence, "leadership lease may have expired");
         }
-        shared.rest(&shared.changing.borrow());
-        if held.may_order(now)
-            && let Some((order, server)) = next_order(shared, planner, &held)
+        shared.back_off(&shared.changing_engines.borrow());
+        if leadership.may_order(now)
+            && let Some((order, server)) = next_order(shared, planner, &leadership)
         {
             send(shared, order, server, planner).await;
         }
     }
 }
 
-async fn release(shared: &Shared, held: Held) {
-    if let Err(e) = shared.store.end(held.lease).await {
-        tracing::info!(fence = held.fence, error = %e, "can't revoke leadership lease; it expires by itself");
+async fn release(shared: &Shared, leadership: Held) {
+    if let Err(e) = shared.store.end(leadership.lease).await {
+        tracing::info!(fence = leadership.fence, error = %e, "can't revoke leadership lease; it expires by itself");
     }
 }
 
-fn next_order(shared: &Shared, planner: &mut Planner, held: &Held) -> Option<(Order, Server)> {
+fn next_order(
+    shared: &Shared,
+    planner: &mut Planner,
+    leadership: &Held,
+) -> Option<(Order, Server)> {
     let config = shared.config()?;
     let roster = shared.roster.borrow();
     if shared.now() < roster.changed_at().after(REGISTRY_QUIET) {
@@ -156,31 +160,35 @@
             continue;
         };
         let (shape, rate) = {
-            let learned = shared.service(&service.name);
+            let learned = shared.service_estimates(&service.name);
             (learned.shape, learned.reading.rate())
         };
         let view = View {
             service: &service.name,
-            groups: &groups(shared, &roster, &service.name),
+            groups: &engine_groups(shared, &roster, &service.name),
             engine: spec,
             shape: Some(shape).filter(Shape::is_known),
             rate,
         };
         if let Some((to, stage)) = planner.next(shared.now(), &view) {
             planner.given(shared.now(), &to, stage, spec);
-            shared.changing.replace(planner.changing());
+            shared.changing_engines.replace(planner.changing());
             let server = roster.get(&to)?.clone();
             let holder = shared.node().name.clone();
-            return Some((Order { to, stage, holder, fence: held.fence }, server));
+            return Some((Order { to, stage, holder, fence: leadership.fence }, server));
         }
     }
-    shared.changing.replace(planner.changing());
+    shared.changing_engines.replace(planner.changing());
     None
 }
 
 /// Groups a service's engines by the gateways that place requests there: one group, or one for
 /// each zone.
-fn groups<'a>(shared: &Shared, roster: &'a Roster, service: &'a str) -> Vec<Vec<&'a Server>> {
+fn engine_groups<'a>(
+    shared: &Shared,
+    roster: &'a Roster,
+    service: &'a str,
+) -> Vec<Vec<&'a Server>> {
     let scope = shared.scope();
     let mut groups: BTreeMap<&str, Vec<&Server>> = BTreeMap::new();
     for server in roster.ready(service) {
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -51,8 +51,8 @@
         let pause = share::pause(recipients.len());
         compio::time::sleep(pause.mul_f64(MIN_PAUSE_FACTOR)).await;
         let idle_pause = std::pin::pin!(compio::time::sleep(pause.mul_f64(IDLE_PAUSE_FACTOR)));
-        select(shared.news(), idle_pause).await;
-        shared.told();
+        select(shared.report_requested(), idle_pause).await;
+        shared.clear_report_request();
         seq += 1;
         let mut share = own_report(&shared, incarnation, seq);
         // Load reports are sent several times as often as zone summaries are passed on.
@@ -77,7 +77,7 @@
 
 /// Sends the messages that are meant for a single peer.
 pub async fn post(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
-    let Some(mut messages) = shared.letters() else {
+    let Some(mut messages) = shared.take_outbox() else {
         return;
     };
     while let Some((to, news)) = messages.next().await {
@@ -111,7 +111,7 @@
 /// while engines that may be theirs are changing their stage.
 fn report_recipients(shared: &Shared) -> Vec<SocketAddr> {
     let (node, fleet) = (shared.node(), shared.fleet.borrow());
-    let all = shared.scope() == Scope::All || !shared.changing.borrow().is_empty();
+    let all = shared.scope() == Scope::All || !shared.changing_engines.borrow().is_empty();
     let others = fleet.all().iter().filter(|(name, _)| **name != node.name);
     others.filter(|(_, g)| all || g.zone == node.zone).map(|(_, g)| g.addr).collect()
 }
@@ -184,7 +184,7 @@
         fleet,
         link: store_link(shared),
         waiting: engines.waiting() as u32,
-        changing: shared.changing.borrow().clone(),
+        changing: shared.changing_engines.borrow().clone(),
         work: engines.work(),
         notes: notes::checksum(shared),
         missing: quota::missing(shared),
@@ -230,7 +230,7 @@
             Ok(News::Unused(key, tokens)) => quota::take_back(&shared, &key, tokens),
             Ok(News::Age(number)) => keys::tell_age(&shared, from, number),
             Ok(News::Held(number, version, age)) => keys::hear_age(&shared, number, version, age),
-            Ok(News::Notes(senders)) => notes::apply(&shared, &senders, &from.to_string()),
+            Ok(News::Notes(received)) => notes::apply(&shared, &received, &from.to_string()),
             Err(e) => tracing::warn!(%from, len, error = %e, "can't decode datagram"),
         }
     }
@@ -239,7 +239,7 @@
 fn on_load_report(shared: &Rc<Shared>, from: SocketAddr, share: Share) {
     let Share { config, roster, fleet, .. } = share;
     notes::compare_checksum(shared, &share.name, from, share.notes);
-    shared.rest(&share.changing);
+    shared.back_off(&share.changing);
     let mut share = share;
     for digest in share.digests.drain(..).filter(|d| d.zone != shared.node().zone) {
         shared.digests.borrow_mut().hear(shared.now(), digest);
--- a/crates/daemon/src/gateway/register.rs
+++ b/crates/daemon/src/gateway/register.rs
@@ -26,7 +26,7 @@
 impl Sink for FleetSink {
     fn replace(&self, items: Vec<Item>, revision: u64) {
         let locked = items.iter().any(|i| i.key == orders::LOCK_KEY && i.value.is_some());
-        self.0.lock_free.set(!locked);
+        self.0.lock_available.set(!locked);
         let parse = |item: &Item| {
             let name = item.key.strip_prefix(GATEWAY_PREFIX)?.to_owned();
             Some((name, decode(item)?))
@@ -38,7 +38,7 @@
 
     fn apply(&self, item: Item) {
         if item.key == orders::LOCK_KEY {
-            self.0.lock_free.set(item.value.is_none());
+            self.0.lock_available.set(item.value.is_none());
             return;
         }
         let Some(name) = item.key.strip_prefix(GATEWAY_PREFIX) else {
@@ -52,7 +52,7 @@
             "gateway registration changed"
         );
         self.0.fleet.borrow_mut().apply(self.0.now(), name, gateway, item.revision);
-        self.0.note_news();
+        self.0.request_report();
     }
 }
 
@@ -79,7 +79,7 @@
     let mut lease = None;
     loop {
         let step = match lease {
-            Some(id) => shared.store.keep(id).await.map(|_| id),
+            Some(id) => shared.store.renew(id).await.map(|_| id),
             None => register(&shared, &key, &value).await,
         };
         match step {
--- a/crates/daemon/src/gateway/shared.rs
+++ b/crates/daemon/src/gateway/shared.rs
@@ -1,6 +1,7 @@
-//! What the tasks of one gateway process share: beliefs, records of backend servers, counters.
+//! State shared by the tasks of one gateway process: configuration, backend servers, peers and
+//! counters.
 //!
-//! All tasks run on one thread; a cell is borrowed for a step and never across a wait.
+//! All tasks run on one thread. A cell is borrowed for one step only, never across an `await`.
 
 use std::cell::{Cell, RefCell, RefMut};
 use std::collections::HashMap;
@@ -48,18 +49,18 @@
 use crate::clock::Clock;
 use crate::metrics::Metrics;
 
-/// How long an engine said to be changing its stage is passed over; several rounds of the datagrams
-/// that say so.
-const CHANGE_REST: Duration = Duration::from_millis(700);
+/// How long an engine that is reported to be changing its stage gets no requests: several rounds
+/// of the datagrams that report it.
+const STAGE_CHANGE_BACKOFF: Duration = Duration::from_millis(700);
 
-/// Versions and age of the beliefs behind a decision.
+/// Versions and age of the state that a decision used.
 #[derive(Clone, Copy, Debug)]
 pub struct Basis {
     /// Version of the configuration.
     pub config: u64,
-    /// Revision of the list of backend servers.
+    /// Revision of the server registry.
     pub roster: u64,
-    /// Milliseconds since that list was known to hold.
+    /// Milliseconds since the server registry was known to be current.
     pub age: u64,
 }
 
@@ -67,108 +68,109 @@
 pub struct Shared {
     /// The process's clock.
     pub clock: Clock,
-    /// Settings; replaced when the file changes.
+    /// Settings; replaced when the settings file changes.
     pub node: RefCell<Rc<Node>>,
-    /// Makes digests of what requests ask for.
+    /// Computes request digests.
     pub digester: Digester,
-    /// Connections.
+    /// Connections to backend servers and peers.
     pub pool: Rc<Pool>,
-    /// The store.
+    /// Client of the metadata store.
     pub store: StoreClient,
-    /// The newest configuration heard of.
+    /// The newest configuration received.
     pub config: RefCell<Option<Rc<Config>>>,
-    /// Backend servers.
+    /// The server registry: all known backend servers.
     pub roster: RefCell<Roster>,
-    /// As of when the configuration is known to be the newest.
+    /// When the configuration was last known to be the newest.
     pub recency: RefCell<Recency>,
-    /// The newest configuration of the store could not be read.
-    pub unread: Cell<bool>,
-    /// Which gateways lend accounts' quotas.
+    /// True if the store's newest configuration could not be decoded.
+    pub config_unreadable: Cell<bool>,
+    /// Ranks the gateways that may own a quota or server limit.
     pub homes: RefCell<Homes>,
-    /// What this gateway lends.
+    /// Tokens that this gateway grants to others, as owner or standby.
     pub lender: RefCell<Lender>,
-    /// What it has borrowed.
+    /// Tokens that this gateway has acquired.
     pub borrower: RefCell<Borrower>,
-    /// Homes that did not answer, by number, and until when they are passed over.
+    /// Owners that did not answer, by gateway number, and until when they are not asked.
     pub silent: RefCell<HashMap<u32, Timestamp>>,
-    /// Questions to homes that are not answered yet.
+    /// Token requests to owners that wait for an answer, by request number.
     pub asked: RefCell<HashMap<u64, oneshot::Sender<Reply>>>,
-    /// How far the list of backend servers can be believed.
+    /// When the server registry was last known to be current, and whether the store is reachable.
     pub fresh: RefCell<Freshness>,
-    /// Callers' deadlines, by route.
+    /// Deadlines that callers set, by route.
     pub patience: RefCell<Patience>,
-    /// Calls of plain services under way and waiting, by service.
+    /// Admission queues of plain services, by service.
     pub lines: RefCell<HashMap<String, Line>>,
-    /// Calls that wait for another one to end.
+    /// Calls that wait in an admission queue.
     pub line_waiters: Waiters,
-    /// Records of plain backend servers.
+    /// Statistics of plain backend servers.
     pub plain: RefCell<Plain>,
-    /// Work at model engines.
+    /// Work of this gateway at model engines, and the requests that wait for one.
     pub engines: RefCell<Engines>,
-    /// Pace of engines that read prompts.
+    /// Speed factors of prefill engines.
     pub paces: RefCell<Paces>,
-    /// What is learned of services and routes.
+    /// Estimates learned for services and routes.
     pub learned: RefCell<Learned>,
-    /// What peers told.
+    /// Load reports of peers.
     pub shares: RefCell<Shares>,
-    /// The scope, and the list of gateways and the memory that it was judged by.
+    /// The scope, with the edition of the gateway list and the fleet memory that it was computed
+    /// from.
     scope: Cell<((u64, u64), Scope)>,
-    /// Memory of all engines.
-    pub memory: RefCell<Memory>,
-    /// What other availability zones told.
+    /// Memory of all engines, in tokens.
+    pub fleet_memory: RefCell<Memory>,
+    /// Summaries of other availability zones.
     pub digests: RefCell<Digests>,
-    /// Places here that requests of other zones have.
-    pub guests: RefCell<Guests>,
-    /// Extra arrivals, by service.
+    /// Reservations here that serve requests of other zones.
+    pub incoming: RefCell<Guests>,
+    /// Retry budgets, by service.
     budgets: RefCell<HashMap<String, Budget>>,
-    /// Gateways that are registered.
+    /// Registered gateways.
     pub fleet: RefCell<Fleet>,
-    /// This gateway's part in following the store.
+    /// Whether this gateway follows the store, and whether as a zone leader.
     pub role: RefCell<Role>,
-    /// Beliefs that are being fetched from peers.
-    pub pulls: RefCell<Pulls>,
-    /// Configurations on their way to peers.
+    /// Fetches of state from peers that are under way.
+    pub fetches: RefCell<Pulls>,
+    /// Configuration transfers to peers that are under way.
     pub uploads: Uploads,
-    /// Backend servers that want nothing from this process for a while.
+    /// Back-offs that backend servers asked for.
     pub pauses: RefCell<Pauses>,
-    /// Limits that backend servers name.
+    /// Limits that backend servers report.
     pub limits: RefCell<ServerLimits>,
-    /// Contents under which backend servers ended.
+    /// Quarantine: requests suspected or confirmed to crash backend servers.
     pub quarantine: RefCell<Quarantine>,
-    /// Losses of which it is not known yet whether their servers ended.
+    /// Lost attempts for which it is not known yet whether the server crashed.
     pub losses: RefCell<Losses>,
-    /// Wakes who looks into them.
+    /// Wakes the tasks that investigate lost attempts and broadcast gossip state.
     pub inquiries: Waiters,
-    /// What all gateways should hear beside what the store says.
+    /// Gossip state to broadcast to all gateways.
     pub notes: RefCell<Notes>,
-    /// Contents proved here that the store should know.
+    /// Requests confirmed here to crash servers that are not written to the store yet.
     pub proofs: RefCell<Vec<Content>>,
-    /// Since when peers know something else beside what the store says.
+    /// Peers whose gossip state differs from this gateway's, and since when.
     pub drift: RefCell<Drift>,
-    /// Nobody is known to hold the right to order engines.
-    pub lock_free: Cell<bool>,
-    /// Engines that this process ordered to change their stage and that have not yet.
-    pub changing: RefCell<Vec<ServerId>>,
+    /// True while no gateway is known to be the leader that orders engines.
+    pub lock_available: Cell<bool>,
+    /// Engines that this gateway ordered to change their stage and that have not done so yet.
+    pub changing_engines: RefCell<Vec<ServerId>>,
     /// When the process was told to stop.
     pub stopping: Cell<Option<Timestamp>>,
-    /// Requests being worked on.
+    /// Number of requests in progress.
     pub open: Cell<usize>,
     /// Counters and histograms.
     pub metrics: Metrics,
     born_at: Timestamp,
     rng: RefCell<ChaCha8Rng>,
     waiters: Waiters,
-    news: Cell<bool>,
-    teller: RefCell<Option<oneshot::Sender<()>>>,
-    outbox: mpsc::UnboundedSender<Letter>,
-    letters: Cell<Option<mpsc::UnboundedReceiver<Letter>>>,
+    report_requested: Cell<bool>,
+    reporter: RefCell<Option<oneshot::Sender<()>>>,
+    outbox: mpsc::UnboundedSender<Message>,
+    outbox_receiver: Cell<Option<mpsc::UnboundedReceiver<Message>>>,
 }
 
-/// News for one peer.
-pub type Letter = (SocketAddr, News);
+/// A message for one peer.
+pub type Message = (SocketAddr, News);
 
 impl Shared {
-    /// State of a process that knows nothing yet.
+    /// Initial state of a process: no configuration, no servers, no peers.
     pub fn new(
         node: Node,
         clock: Clock,
@@ -178,7 +180,7 @@
     ) -> Rc<Self> {
         let pool = Rc::new(Pool::new(clock));
         let store = StoreClient::new(pool.clone(), node.store);
-        let (outbox, letters) = mpsc::unbounded();
+        let (outbox, outbox_receiver) = mpsc::unbounded();
         Rc::new(Shared {
             clock,
             node: RefCell::new(Rc::new(node)),
@@ -188,7 +190,7 @@
             config: RefCell::default(),
             roster: RefCell::default(),
             recency: RefCell::default(),
-            unread: Cell::default(),
+            config_unreadable: Cell::default(),
             homes: RefCell::default(),
             lender: RefCell::new(Lender::new(clock.now())),
             borrower: RefCell::default(),
@@ -204,13 +206,13 @@
             learned: RefCell::default(),
             shares: RefCell::default(),
             scope: Cell::new(((0, 0), Scope::All)),
-            memory: RefCell::default(),
+            fleet_memory: RefCell::default(),
             digests: RefCell::default(),
-            guests: RefCell::default(),
+            incoming: RefCell::default(),
             budgets: RefCell::default(),
             fleet: RefCell::default(),
             role: RefCell::new(Role::new(clock.now())),
-            pulls: RefCell::default(),
+            fetches: RefCell::default(),
             uploads: Uploads::default(),
             pauses: RefCell::default(),
             limits: RefCell::default(),
@@ -220,32 +222,32 @@
             notes: RefCell::default(),
             proofs: RefCell::default(),
             drift: RefCell::default(),
-            lock_free: Cell::new(true),
-            changing: RefCell::default(),
+            lock_available: Cell::new(true),
+            changing_engines: RefCell::default(),
             stopping: Cell::default(),
             open: Cell::new(0),
             metrics,
             born_at: clock.now(),
             rng: RefCell::new(rng),
             waiters: Waiters::default(),
-            news: Cell::default(),
-            teller: RefCell::default(),
+            report_requested: Cell::default(),
+            reporter: RefCell::default(),
             outbox,
-            letters: Cell::new(Some(letters)),
+            outbox_receiver: Cell::new(Some(outbox_receiver)),
         })
     }
 
-    /// The present moment.
+    /// The current time.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// Uniform in 0..1.
+    /// A random number, uniform in 0..1.
     pub fn draw(&self) -> f64 {
         self.rng.borrow_mut().random()
     }
 
-    /// A number that no other gateway is likely to draw.
+    /// A random id that no other gateway is likely to choose.
     pub fn draw_number(&self) -> u64 {
         self.rng.borrow_mut().random()
     }
@@ -260,50 +262,51 @@
         self.config.borrow().clone()
     }
 
-    /// Puts a configuration in force unless an equal or newer one is; true when it did.
-    pub fn offer(&self, config: Config) -> bool {
-        let mut held = self.config.borrow_mut();
-        if held.as_ref().is_some_and(|c| c.version >= config.version) {
+    /// Applies a configuration if it is newer than the one in force; returns true if it was
+    /// applied.
+    pub fn apply_config(&self, config: Config) -> bool {
+        let mut current = self.config.borrow_mut();
+        if current.as_ref().is_some_and(|c| c.version >= config.version) {
             return false;
         }
         self.recency.borrow_mut().on_version(config.version);
-        *held = Some(Rc::new(config));
+        *current = Some(Rc::new(config));
         true
     }
 
-    /// Sends news to one peer.
+    /// Queues a message to one peer.
     pub fn post(&self, to: SocketAddr, news: News) {
-        // The receiver lives as long as the process.
+        // The receiver lives as long as the process, so this can't fail.
         let _ = self.outbox.unbounded_send((to, news));
     }
 
-    /// What is to be sent to single peers; given once.
-    pub fn letters(&self) -> Option<mpsc::UnboundedReceiver<Letter>> {
-        self.letters.take()
+    /// The receiver of queued messages; returned once.
+    pub fn take_outbox(&self) -> Option<mpsc::UnboundedReceiver<Message>> {
+        self.outbox_receiver.take()
     }
 
-    /// May callers be taken?
+    /// True if requests of callers can be served.
     pub fn is_ready(&self) -> bool {
         !self.is_stopping() && self.config.borrow().is_some() && self.roster.borrow().is_complete()
     }
 
-    /// Was the process told to stop?
+    /// True once the process was told to stop.
     pub fn is_stopping(&self) -> bool {
         self.stopping.get().is_some()
     }
 
-    /// Live gateways, this one included.
+    /// Number of live gateways, this one included.
     pub fn entries(&self) -> usize {
         let heard = 1 + self.shares.borrow().live(self.now());
         heard.max(self.fleet.borrow().all().len())
     }
 
-    /// Who shares engines and all news with this gateway.
+    /// Whether engines are shared with all gateways or with those of the own zone.
     pub fn scope(&self) -> Scope {
-        let (fleet, tokens) = (self.fleet.borrow(), self.memory.borrow().tokens());
+        let (fleet, tokens) = (self.fleet.borrow(), self.fleet_memory.borrow().tokens());
         let key = (fleet.edition(), tokens);
-        let (judged, scope) = self.scope.get();
-        if judged == key {
+        let (computed_from, scope) = self.scope.get();
+        if computed_from == key {
             return scope;
         }
         let scope = zones::scope(&fleet, tokens);
@@ -311,58 +314,59 @@
         scope
     }
 
-    /// The zone whose engines are placed at from here; none when all are.
+    /// The zone whose engines this gateway uses; none if it uses those of all zones.
     pub fn zone(&self) -> Option<String> {
         (self.scope() == Scope::Zone).then(|| self.node().zone.clone())
     }
 
-    /// Gateways that place at the same engines, this one included.
-    pub fn neighbours(&self) -> usize {
+    /// Number of gateways that use the same engines, this one included.
+    pub fn gateways_in_scope(&self) -> usize {
         match self.scope() {
             Scope::All => self.entries(),
             Scope::Zone => self.fleet.borrow().of_zone(&self.node().zone).count().max(1),
         }
     }
 
-    /// How many gateways of this availability zone take duties before this one; none while it is not
-    /// known to be registered.
+    /// Number of gateways of this availability zone that rank before this one; none if this
+    /// gateway is not known to be registered.
     pub fn rank(&self) -> Option<usize> {
         let (node, fleet) = (self.node(), self.fleet.borrow());
         fleet.ahead(&node.name).map(Iterator::count)
     }
 
-    /// Looks how much memory all engines have.
+    /// Records how much memory all engines have.
     pub fn measure_memory(&self) {
         let Some(config) = self.config() else {
             return;
         };
         let roster = self.roster.borrow();
-        let held = config.services.iter().filter_map(|service| {
+        let tokens = config.services.iter().filter_map(|service| {
             let tokens = service.engine.as_ref()?.tokens;
             Some(tokens * roster.ready(&service.name).count() as u64)
         });
-        self.memory.borrow_mut().observe(self.now(), held.sum());
+        self.fleet_memory.borrow_mut().observe(self.now(), tokens.sum());
     }
 
-    /// Judges anew whether this gateway follows the store; one that does not goes by what those say
-    /// that do.
+    /// Decides anew whether this gateway follows the store. A gateway that does not follow the
+    /// store relies on the store access of those that do.
     pub fn judge_role(&self) {
         let (now, node) = (self.now(), self.node());
         let (fleet, shares) = (self.fleet.borrow(), self.shares.borrow());
         let heard = |name: &str| matches!(shares.link(now, name), Some(Link::Heard { .. }));
         let ahead: Vec<&str> = fleet.ahead(&node.name).map_or_else(Vec::new, Iterator::collect);
-        let (all, heard) = (ahead.len(), ahead.iter().filter(|n| heard(n)).count());
-        // Who has not read the whole list yet reads it: that is faster than to be given it.
+        let (ahead_count, heard) = (ahead.len(), ahead.iter().filter(|n| heard(n)).count());
+        // A gateway without a complete server registry reads it from the store, which is faster
+        // than to wait for peers.
         let heard = if self.roster.borrow().is_complete() { heard } else { 0 };
         let mut role = self.role.borrow_mut();
         let before = role.follows();
-        role.judge(now, all, heard);
+        role.judge(now, ahead_count, heard);
         if role.follows() != before {
             tracing::info!(
                 follows = role.follows(),
-                ahead = all,
+                ahead = ahead_count,
                 heard,
-                "part in following the store"
+                "role in following the store changed"
             );
             self.metrics.gauge("gateway.follows", u64::from(role.follows()));
         }
@@ -372,12 +376,12 @@
                 self.fresh.borrow_mut().known(at);
             }
             if self.fresh.borrow_mut().adopt(now, link) {
-                tracing::info!(?link, "store, as peers hear it");
+                tracing::info!(?link, "store access as reported by peers changed");
             }
         }
     }
 
-    /// Extra arrivals at a service.
+    /// Retry budget of a service.
     pub fn budget(&self, service: &str) -> RefMut<'_, Budget> {
         let new = || Budget::new(self.born_at);
         RefMut::map(self.budgets.borrow_mut(), |all| {
@@ -385,27 +389,27 @@
         })
     }
 
-    /// Work of this and all other gateways at an engine.
-    pub fn work(&self, id: &ServerId) -> Work {
+    /// Load of all gateways, this one included, at an engine.
+    pub fn engine_load(&self, id: &ServerId) -> Work {
         let peers = self.shares.borrow().work(self.now(), id);
         self.engines.borrow().own(id).plus(peers)
     }
 
-    /// What is learned of a service.
-    pub fn service(&self, name: &str) -> RefMut<'_, Service> {
+    /// Estimates learned for a service.
+    pub fn service_estimates(&self, name: &str) -> RefMut<'_, Service> {
         RefMut::map(self.learned.borrow_mut(), |all| all.service(name))
     }
 
-    /// These engines are changing their stage: nothing is sent there for a few rounds of news.
-    pub fn rest(&self, changing: &[ServerId]) {
-        let until = self.now().after(CHANGE_REST);
+    /// Sends nothing for a while to engines that are changing their stage.
+    pub fn back_off(&self, changing: &[ServerId]) {
+        let until = self.now().after(STAGE_CHANGE_BACKOFF);
         let mut engines = self.engines.borrow_mut();
         for id in changing {
             engines.rest(id, until);
         }
     }
 
-    /// What decisions are based on now, for the log.
+    /// Versions and age of the current state, for log lines of decisions.
     pub fn basis(&self) -> Basis {
         let known_at = self.fresh.borrow().known_at();
         Basis {
@@ -415,64 +419,65 @@
         }
     }
 
-    /// Work at an engine began or ended: peers should hear of it.
-    pub fn note_news(&self) {
-        self.news.set(true);
-        if let Some(sender) = self.teller.take() {
-            // The teller may be between two rounds.
+    /// Requests a load report: load at an engine has changed.
+    pub fn request_report(&self) {
+        self.report_requested.set(true);
+        if let Some(sender) = self.reporter.take() {
+            // The reporting task may be between two rounds and not be listening.
             let _ = sender.send(());
         }
     }
 
-    /// Resolves when there is something that peers should hear of, at once if there is already.
-    pub fn news(&self) -> oneshot::Receiver<()> {
+    /// Resolves when a load report is requested; at once if a request is pending.
+    pub fn report_requested(&self) -> oneshot::Receiver<()> {
         let (sender, receiver) = oneshot::channel();
-        self.teller.replace(Some(sender));
-        if self.news.get() {
-            self.note_news();
+        self.reporter.replace(Some(sender));
+        if self.report_requested.get() {
+            self.request_report();
         }
         receiver
     }
 
-    /// What there is so far is about to be told; later news is told with the next datagram.
-    pub fn told(&self) {
-        self.news.set(false);
+    /// Clears the request for a load report, as one is about to be sent. Later changes request
+    /// another one.
+    pub fn clear_report_request(&self) {
+        self.report_requested.set(false);
     }
 
-    /// Resolves when a place may have come free.
-    pub fn wake(&self) -> oneshot::Receiver<()> {
+    /// Resolves when capacity may have become free.
+    pub fn capacity_freed(&self) -> oneshot::Receiver<()> {
         self.waiters.wake()
     }
 
-    /// A place may have come free.
+    /// Wakes all requests that wait for capacity.
     pub fn wake_all(&self) {
         self.waiters.wake_all();
     }
 
-    /// Calls of a plain service.
+    /// Admission queue of a plain service.
     pub fn line(&self, service: &str) -> RefMut<'_, Line> {
         RefMut::map(self.lines.borrow_mut(), |all| all.entry(service.to_owned()).or_default())
     }
 }
 
-/// Tasks that wait for something to come free.
+/// Tasks that wait to be woken.
 #[derive(Default)]
 pub struct Waiters {
     senders: RefCell<Vec<oneshot::Sender<()>>>,
 }
 
 impl Waiters {
-    /// Resolves when something may have come free.
+    /// Resolves at the next `wake_all`.
     pub fn wake(&self) -> oneshot::Receiver<()> {
         let (sender, receiver) = oneshot::channel();
         self.senders.borrow_mut().push(sender);
         receiver
     }
 
-    /// Something may have come free.
+    /// Wakes all waiting tasks.
     pub fn wake_all(&self) {
         for sender in self.senders.take() {
-            // A receiver that is gone stopped waiting.
+            // An error means that the task has stopped waiting.
             let _ = sender.send(());
         }
     }
--- a/crates/daemon/src/gateway/stream.rs
+++ b/crates/daemon/src/gateway/stream.rs
@@ -212,7 +212,7 @@
 /// What this zone's engines of a service have left, for other zones.
 pub fn room(shared: &Shared, service: &str, spec: &Engine) -> Room {
     let now = shared.now();
-    let prompt = shared.service(service).shape.prompt();
+    let prompt = shared.service_estimates(service).shape.prompt();
     let read_at = match read::nearest(shared, service, prompt, now) {
         Some((_, at)) => at,
         None => read::alone(shared, service, prompt, now),
--- a/crates/daemon/src/gateway/stream/flight.rs
+++ b/crates/daemon/src/gateway/stream/flight.rs
@@ -163,7 +163,7 @@
             give_back(shared, &server.id, server.addr, engine::drop_hold(&server.id, &hold));
         }
         shared.engines.borrow_mut().freed(now, &server.id, memory, whole);
-        shared.note_news();
+        shared.request_report();
     }
 
     /// The request is over.
--- a/crates/daemon/src/gateway/stream/lend.rs
+++ b/crates/daemon/src/gateway/stream/lend.rs
@@ -50,7 +50,7 @@
     if parts.method == Method::DELETE {
         let id = parts.uri.path().rsplit('/').next().and_then(|id| id.parse::<u64>().ok());
         // The guest's task notices that its sender is gone.
-        let known = id.and_then(|id| shared.guests.borrow_mut().open.remove(&id));
+        let known = id.and_then(|id| shared.incoming.borrow_mut().open.remove(&id));
         let status = if known.is_some() { StatusCode::OK } else { StatusCode::NOT_FOUND };
         return http::response(status, "text/plain", http::full(""));
     }
@@ -93,7 +93,7 @@
         Some((_, at)) => *at,
         None => read::alone(&shared, &ask.service, ask.prompt, now),
     };
-    let view = View { engine: &spec, read_at, entries: shared.neighbours() };
+    let view = View { engine: &spec, read_at, entries: shared.gateways_in_scope() };
     let Some(server) = engine_for(&shared, &ask.service, &need, &view) else {
         return log(&shared, &ask, &view, None);
     };
@@ -104,15 +104,15 @@
     if let Some((reader, _)) = &reader {
         shared.engines.borrow_mut().reading(&reader.id, ask.prompt);
     }
-    shared.note_news();
-    let (id, done) = shared.guests.borrow_mut().enter();
+    shared.request_report();
+    let (id, done) = shared.incoming.borrow_mut().enter();
     let mut guest = Guest { server: server.id.clone(), memory, growth: ask.growth, reading: None };
     guest.reading = reader.as_ref().map(|(s, _)| (s.id.clone(), ask.prompt));
     let reader = reader.map(|(s, at)| (s, at.since(shared.now()).as_millis() as u64));
     if tell.send(Grant { id, server, hold, reader }).is_ok() {
         guest.stay(&shared, &ask, read_at, done).await;
     }
-    shared.guests.borrow_mut().open.remove(&id);
+    shared.incoming.borrow_mut().open.remove(&id);
     guest.close(&shared);
 }
 
@@ -154,7 +154,7 @@
         read_at: Timestamp,
         done: oneshot::Receiver<()>,
     ) {
-        let token = shared.service(&ask.service).shape.token();
+        let token = shared.service_estimates(&ask.service).shape.token();
         let length = token.mul_f64(self.growth.length() * GUEST_LENGTHS);
         let until = read_at.after(length).after(GUEST_MORE);
         let mut done = done;
@@ -185,7 +185,7 @@
     fn close(mut self, shared: &Shared) {
         self.read(shared);
         shared.engines.borrow_mut().freed(shared.now(), &self.server, self.memory, true);
-        shared.note_news();
+        shared.request_report();
         shared.wake_all();
     }
 }
--- a/crates/daemon/src/gateway/stream/pass.rs
+++ b/crates/daemon/src/gateway/stream/pass.rs
@@ -80,7 +80,7 @@
             tracing::info!(id = self.intake.id(), ms, "first event");
         } else {
             let seconds = pause.as_secs_f64() / tokens.max(1) as f64;
-            shared.service(&self.intake.service).shape.observe_token(seconds);
+            shared.service_estimates(&self.intake.service).shape.observe_token(seconds);
         }
         self.out.pass(events).await;
     }
--- a/crates/daemon/src/gateway/stream/place.rs
+++ b/crates/daemon/src/gateway/stream/place.rs
@@ -72,7 +72,7 @@
             }
             Advice::Wait(until) => {
                 let timer = std::pin::pin!(compio::time::sleep(until.since(now)));
-                select(shared.wake(), timer).await;
+                select(shared.capacity_freed(), timer).await;
             }
             Advice::Refuse(retry_at, lack) => {
                 leave(shared, flight);
@@ -108,7 +108,7 @@
 ) -> Need {
     let first_by = if begun { now.after(RESUME_WAIT) } else { intake.goal_at };
     let prompt = intake.caller.prompt;
-    let mut learned = shared.service(&intake.service);
+    let mut learned = shared.service_estimates(&intake.service);
     learned.usual.observe(&growth, prompt);
     if !begun {
         learned.shape.observe(prompt as f64, growth.length());
@@ -127,7 +127,7 @@
     now: Timestamp,
 ) -> Advice {
     let read_at = read::foretold(shared, intake, flight, now);
-    let entries = shared.neighbours();
+    let entries = shared.gateways_in_scope();
     let roster = shared.roster.borrow();
     let servers = writers(shared, &roster, &intake.service).filter(|s| !tried.contains(&s.id));
     let shares = shared.shares.borrow();
@@ -148,7 +148,7 @@
 ) -> bool {
     let read_at = read::foretold(shared, intake, flight, now);
     let (roster, shares) = (shared.roster.borrow(), shared.shares.borrow());
-    let view = View { engine: spec, read_at, entries: shared.neighbours() };
+    let view = View { engine: spec, read_at, entries: shared.gateways_in_scope() };
     let servers = writers(shared, &roster, &intake.service);
     let work = |id: &ServerId| shares.work(now, id);
     shared.engines.borrow().is_short(now, need, &view, servers, work)
@@ -182,7 +182,7 @@
 
 /// Usual requests that find a place at engines that are placed at from here.
 pub fn places(shared: &Shared, service: &str, spec: &Engine) -> u32 {
-    let usual = shared.service(service).shape.memory();
+    let usual = shared.service_estimates(service).shape.memory();
     let (now, roster) = (shared.now(), shared.roster.borrow());
     let shares = shared.shares.borrow();
     let servers: Vec<&Server> = writers(shared, &roster, service).collect();
@@ -230,7 +230,7 @@
         return None;
     }
     shared.engines.borrow_mut().placed(id, memory);
-    shared.note_news();
+    shared.request_report();
     let req = engine::hold(id, memory.reserved(), spec.hold.as_millis() as u64);
     let answer = said::call(shared, server, req, HOLD_WAIT).await;
     let now = shared.now();
@@ -238,7 +238,7 @@
     if hold.is_some() {
         return hold;
     }
-    let work = shared.work(id);
+    let work = shared.engine_load(id);
     let mut engines = shared.engines.borrow_mut();
     engines.freed(now, id, memory, false);
     match answer {
@@ -304,7 +304,7 @@
     joined: Timestamp,
 ) {
     let free = percent(shared, intake, spec);
-    let work = shared.work(&server.id);
+    let work = shared.engine_load(&server.id);
     let ms = shared.now().since(joined).as_millis() as u64;
     let Basis { config, roster, age } = shared.basis();
     tracing::info!(
--- a/crates/daemon/src/gateway/stream/read.rs
+++ b/crates/daemon/src/gateway/stream/read.rs
@@ -54,7 +54,7 @@
 
 /// When an engine that writes answers would have read a prompt.
 pub fn alone(shared: &Shared, service: &str, prompt: u64, now: Timestamp) -> Timestamp {
-    let alone = shared.service(service).reading.time(Work::default(), prompt);
+    let alone = shared.service_estimates(service).reading.time(Work::default(), prompt);
     now.after(alone * LOCAL_PACE)
 }
 
@@ -71,7 +71,7 @@
             Some(named) => named.clone().filter(|_| n == 0),
             None => {
                 let prompt = intake.caller.prompt;
-                pick(shared, &intake.service, prompt, zone, now, shared.neighbours())
+                pick(shared, &intake.service, prompt, zone, now, shared.gateways_in_scope())
             }
         };
         let Some((reader, ready_at)) = picked else {
@@ -108,7 +108,7 @@
         .filter(|s| !said::rests(shared, &s.id));
     let (shares, paces) = (shared.shares.borrow(), shared.paces.borrow());
     let work = |id: &_| engines.own(id).plus(shares.work(now, id));
-    let learned = shared.service(service);
+    let learned = shared.service_estimates(service);
     let choice = Choice { paces: &paces, reading: &learned.reading, prompt, zone, entries };
     let picked = prefill::pick(now, readers, work, &choice, || shared.draw());
     picked.map(|(s, at)| (s.clone(), at))
@@ -130,10 +130,10 @@
 ) -> bool {
     let now = shared.now();
     let prompt = intake.caller.prompt;
-    let work = shared.work(&reader.id);
-    let plain = shared.service(&intake.service).reading.time(work, prompt);
+    let work = shared.engine_load(&reader.id);
+    let plain = shared.service_estimates(&intake.service).reading.time(work, prompt);
     shared.engines.borrow_mut().reading(&reader.id, prompt);
-    shared.note_news();
+    shared.request_report();
     flight.reading = Some((reader.id.clone(), prompt));
     let mut req = intake.request(now, &reader.id);
     headers::set_prefill(req.headers_mut());
@@ -148,7 +148,7 @@
     engines.read(&reader.id, prompt);
     let ms = done.since(now).as_millis() as u64;
     let foretold = ready_at.since(now).as_millis() as u64;
-    let rate = shared.service(&intake.service).reading.rate() as u64;
+    let rate = shared.service_estimates(&intake.service).reading.rate() as u64;
     tracing::info!(
         id = intake.id(), server = %reader.id, ?fate, prompt, queue = work.unread, ms, foretold, rate,
         config, roster, age, "prompt read"
@@ -159,7 +159,11 @@
         // The queue of another zone's reader is not known here: its time says nothing.
         if !lent {
             shared.paces.borrow_mut().observe(&reader.id, done.since(now), plain);
-            shared.service(&intake.service).reading.observe(work, prompt, done.since(now));
+            shared.service_estimates(&intake.service).reading.observe(
+                work,
+                prompt,
+                done.since(now),
+            );
         }
         let (id, addr) = (reader.id.clone(), reader.addr);
         let until = done.after(life(intake)).before(HANDLE_MARGIN);
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -1,11 +1,11 @@
-//! Following the store by one watch, for as long as this gateway has to (`ebonyloft_router::delegate`).
+//! Follows the store by one watch, while this gateway has to do so (`ebonyloft_router::delegate`).
 //!
-//! Everything is listed once and then watched from that revision. When the history is gone it is
-//! listed again; what is missing from the new list was removed. While the store is away the belief
-//! stays as it is. While an answer takes long to read, the list of backend servers is followed beside it
-//! (`bypass`).
+//! All keys are listed once and then watched from that revision. If the store has compacted the
+//! history, they are listed again; a key missing from the new list was removed. While the store is
+//! unreachable the known state stays in force. While the body of an answer takes long to arrive,
+//! the server registry is followed by a second watch (`roster_watch`).
 
-mod bypass;
+mod roster_watch;
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,54 +17,54 @@
 use ebonyloft_router::roster::{Change, Effect, Entry};
 
 use super::shared::Shared;
-use super::store::Watched;
+use super::store::WatchReply;
 use super::{keys, quarantine, register};
 
-/// First pause after a failed call; doubled with each further failure.
-const PAUSE_MIN: Duration = Duration::from_millis(60);
-/// Longest such pause: the store's return is noticed within a quarter of the time in which a change
+/// First back-off after a failed call; doubled with each further failure.
+const BACKOFF_MIN: Duration = Duration::from_millis(60);
+/// Longest back-off: the store's return is noticed within a quarter of the time in which a change
 /// must be in force.
-const PAUSE_MAX: Duration = Duration::from_millis(400);
-/// Pause between an answer with changes and the next watch, so that changes which come together are
-/// fetched by one call: a third fewer calls while backend servers come and go.
-/// A tenth of the shortest time in which a change must be in force, and a leaving server is heard of
-/// within 0.2 s.
-const GATHER: Duration = Duration::from_millis(150);
-/// The same for a gateway that hears of changes from another one before: it follows the store only in
-/// case that the other one is cut from it, and is then that much later. A quarter of the shortest time in
-/// which a change must be in force.
-const GATHER_BEHIND: Duration = Duration::from_millis(500);
-/// How often a gateway that hears of the store from others looks whether it has to follow it.
-const ROLE_LOOK: Duration = Duration::from_millis(150);
-/// Each so many gateways that go before this one lengthen the pause after a failure once more: of a
-/// zone's gateways that all find the store away the first two ask it as often as if they were alone.
+const BACKOFF_MAX: Duration = Duration::from_millis(400);
+/// Delay between an answer with changes and the next watch, so that changes which come together
+/// are fetched by one call: a third fewer calls while backend servers come and go. It is a tenth
+/// of the shortest time in which a change must be in force, and a leaving server is known within
+/// 0.2 s.
+const BATCH_DELAY: Duration = Duration::from_millis(150);
+/// The same delay for a gateway that is no zone leader. It gets changes from a leader first and
+/// follows the store only in case that the leader is cut from it, when changes arrive that much
+/// later. A quarter of the shortest time in which a change must be in force.
+const STANDBY_BATCH_DELAY: Duration = Duration::from_millis(500);
+/// Interval at which a gateway that does not follow the store checks whether it has to.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(150);
+/// Number of higher-ranked gateways per step of the back-off factor. Of a zone's gateways that all
+/// find the store unreachable, the first two call it as often as if they were alone.
 const RANK_STEP: usize = 2;
-/// Most such lengthenings; a gateway that only itself can reach the store hears it within two seconds.
+/// Most steps; a gateway that alone can reach the store notices its return within two seconds.
 const RANK_STEPS_MAX: u32 = 5;
 /// Prefix of the operator's keys.
 const CONFIG_PREFIX: &str = "op/";
 /// Prefix of all keys.
 pub const EVERYTHING: &str = "";
 
-/// Where the items of one prefix go.
+/// Receives the items of one prefix.
 pub trait Sink {
-    /// All items of the prefix, as of a revision.
+    /// Replaces all items of the prefix by those as of a revision.
     fn replace(&self, items: Vec<Item>, revision: u64);
-    /// One change.
+    /// Applies one change.
     fn apply(&self, item: Item);
 }
 
 /// Follows a prefix for as long as the process runs.
 pub async fn follow(shared: Rc<Shared>, prefix: &'static str, sink: Box<dyn Sink>) {
     let mut from: Option<u64> = None;
-    let mut pause = PAUSE_MIN;
-    // The first list of a life may be old, since the watch from its revision brings it up to date: when a
-    // whole fleet starts at once the store's limit of calls would hold it up.
+    let mut backoff = BACKOFF_MIN;
+    // The first list may be stale, since the watch from its revision brings it up to date. When a
+    // whole fleet starts at once, current lists would be delayed by the store's call limit.
     let mut age = Age::Stale;
     loop {
         if !shared.role.borrow().follows() {
             from = None;
-            compio::time::sleep(ROLE_LOOK).await;
+            compio::time::sleep(ROLE_CHECK_INTERVAL).await;
             continue;
         }
         let step = match from {
@@ -75,30 +75,31 @@
             Ok(revision) => {
                 age = Age::Current;
                 let changed = from.replace(revision).is_some_and(|before| before != revision);
-                pause = PAUSE_MIN;
+                backoff = BACKOFF_MIN;
                 if changed {
-                    compio::time::sleep(gather(&shared)).await;
+                    compio::time::sleep(batch_delay(&shared)).await;
                 }
             }
             Err(StoreError::Compacted) => {
-                tracing::info!(prefix, after = from, "history is gone, listing again");
+                tracing::info!(prefix, after = from, "history was compacted, listing again");
                 from = None;
             }
             Err(e) => {
-                unheard(&shared, prefix, &e);
-                compio::time::sleep(pause.mul_f64(0.5 + shared.draw())).await;
-                pause = (pause * 2).min(PAUSE_MAX * steps(&shared));
+                on_store_failure(&shared, prefix, &e);
+                compio::time::sleep(backoff.mul_f64(0.5 + shared.draw())).await;
+                backoff = (backoff * 2).min(BACKOFF_MAX * backoff_factor(&shared));
             }
         }
     }
 }
 
-fn gather(shared: &Shared) -> Duration {
-    if shared.role.borrow().leads() { GATHER } else { GATHER_BEHIND }
+fn batch_delay(shared: &Shared) -> Duration {
+    if shared.role.borrow().leads() { BATCH_DELAY } else { STANDBY_BATCH_DELAY }
 }
 
-/// How many times as long as the first gateways of its zone this one waits after a failure.
-fn steps(shared: &Shared) -> u32 {
+/// Factor of the longest back-off: 1 for the highest-ranked gateways of a zone, more for the
+/// others.
+fn backoff_factor(shared: &Shared) -> u32 {
     let steps = shared.rank().map_or(0, |rank| rank / RANK_STEP);
     1 + RANK_STEPS_MAX.min(steps as u32)
 }
@@ -109,14 +110,14 @@
     age: Age,
     sink: &dyn Sink,
 ) -> Result<u64, StoreError> {
-    // Who knows no list yet sends nobody anything.
+    // A gateway without a complete registry sends no requests, so it needs no second watch.
     let known = shared.roster.borrow().is_complete();
     let known_at = shared.now();
-    let page = bypass::beside(shared, None, known, shared.store.list(prefix, age)).await?;
+    let page = roster_watch::during(shared, None, known, shared.store.list(prefix, age)).await?;
     sink.replace(page.items, page.revision);
     if age == Age::Current {
-        heard(shared, prefix, known_at);
-        confirm(shared, |recency| recency.confirm(known_at));
+        on_store_answer(shared, prefix, known_at);
+        confirm_config(shared, |recency| recency.confirm(known_at));
     }
     Ok(page.revision)
 }
@@ -128,37 +129,38 @@
     sink: &dyn Sink,
 ) -> Result<u64, StoreError> {
     let mut known_at = shared.now();
-    // Behind a stale list too: until it is brought up to date nothing is known to hold.
-    let unsure = shared.fresh.borrow().is_unsure();
+    // After a stale list, too, changes are polled: until the first answer nothing is known to be
+    // current.
+    let must_poll = shared.fresh.borrow().is_unsure();
     let sent = shared.now();
-    let (page, waited) = match unsure {
-        true => (shared.store.news(prefix, after).await?, Duration::ZERO),
+    let (page, waited) = match must_poll {
+        true => (shared.store.poll_changes(prefix, after).await?, Duration::ZERO),
         false => {
-            let Watched { coming, wait } =
-                shared.store.watch(prefix, after, patience(shared)).await?;
+            let WatchReply { coming, wait } =
+                shared.store.watch(prefix, after, watch_timeout(shared)).await?;
             known_at = coming.head_at();
             let read = shared.store.read_watch(coming);
-            (bypass::beside(shared, Some(after), true, read).await?, wait)
+            (roster_watch::during(shared, Some(after), true, read).await?, wait)
         }
     };
     let empty = page.items.is_empty();
     for item in page.items {
         sink.apply(item);
     }
-    heard(shared, prefix, known_at);
-    confirm(shared, |recency| recency.on_watch(known_at, sent, waited, empty));
+    on_store_answer(shared, prefix, known_at);
+    confirm_config(shared, |recency| recency.on_watch(known_at, sent, waited, empty));
     Ok(page.revision.max(after))
 }
 
-/// The store told everything that there is; a configuration that could not be read is not known.
-fn confirm(shared: &Shared, confirm: impl FnOnce(&mut Recency)) {
-    if !shared.unread.get() {
+/// Marks the configuration as confirmed by the store, unless the newest one could not be decoded.
+fn confirm_config(shared: &Shared, confirm: impl FnOnce(&mut Recency)) {
+    if !shared.config_unreadable.get() {
         confirm(&mut shared.recency.borrow_mut());
     }
 }
 
-/// How long a watch may be silent: until the belief that it renews has stood for as long as it may.
-fn patience(shared: &Shared) -> Duration {
+/// Timeout of a watch: the time until the state that it confirms is too old to be used.
+fn watch_timeout(shared: &Shared) -> Duration {
     let (now, silence) = (shared.now(), shared.node().bounds.silence());
     let list = shared.fresh.borrow().known_at().after(silence).since(now);
     match keys::bound(shared) {
@@ -167,22 +169,22 @@
     }
 }
 
-/// The store answered; what it said holds as of `known_at`.
-fn heard(shared: &Shared, prefix: &str, known_at: Timestamp) {
+/// Records an answer of the store, whose content was current at `known_at`.
+fn on_store_answer(shared: &Shared, prefix: &str, known_at: Timestamp) {
     if shared.fresh.borrow_mut().on_answer(shared.now(), known_at) {
-        tracing::info!(prefix, "store is back");
+        tracing::info!(prefix, "store is reachable again");
         shared.metrics.count("gateway.store.back", 1);
     }
 }
 
-fn unheard(shared: &Shared, prefix: &str, error: &StoreError) {
+fn on_store_failure(shared: &Shared, prefix: &str, error: &StoreError) {
     if shared.fresh.borrow_mut().on_failure(shared.now()) {
-        tracing::warn!(prefix, error = %error, "store is away");
+        tracing::warn!(prefix, error = %error, "store is unreachable");
         shared.metrics.count("gateway.store.away", 1);
     }
 }
 
-/// Hands items to the sinks of their prefixes; others' items are left.
+/// Routes items to the sinks of their prefixes; other items are ignored.
 pub struct Prefixes(pub Vec<(&'static str, Box<dyn Sink>)>);
 
 impl Prefixes {
@@ -213,7 +215,7 @@
     }
 }
 
-/// Takes the operator's configuration.
+/// Receives the operator's configuration.
 pub struct ConfigSink(pub Rc<Shared>);
 
 impl Sink for ConfigSink {
@@ -228,20 +230,22 @@
             return;
         };
         let decoded = config::decode(&value);
-        self.0.unread.set(decoded.is_err());
+        self.0.config_unreadable.set(decoded.is_err());
         match decoded {
             Ok(config) => {
                 let version = config.version;
-                if self.0.offer(config) {
+                if self.0.apply_config(config) {
                     tracing::info!(version, revision = item.revision, "configuration in force");
                 }
             }
-            Err(e) => tracing::error!(revision = item.revision, error = %e, "configuration unread"),
+            Err(e) => {
+                tracing::error!(revision = item.revision, error = %e, "can't decode configuration")
+            }
         }
     }
 }
 
-/// Takes the list of backend servers.
+/// Receives the server registry.
 pub struct RosterSink(pub Rc<Shared>);
 
 impl RosterSink {
@@ -256,7 +260,7 @@
         let settled = self.settled();
         let effects = self.0.roster.borrow_mut().replace(list, revision, settled);
         for (name, effect) in effects {
-            note_effect(&self.0, &name, effect, revision);
+            apply_effect(&self.0, &name, effect, revision);
         }
         self.0.wake_all();
     }
@@ -266,7 +270,7 @@
         let (name, revision) = (change.name.clone(), change.revision);
         let settled = self.settled();
         let effect = self.0.roster.borrow_mut().apply(change, settled);
-        note_effect(&self.0, &name, effect, revision);
+        apply_effect(&self.0, &name, effect, revision);
         self.0.wake_all();
     }
 }
@@ -279,15 +283,15 @@
         Some(Ok(server)) => Entry::Server(server),
         Some(Err(e)) => {
             let revision = item.revision;
-            tracing::warn!(server = name, revision, error = %e, "registration names no backend server");
+            tracing::warn!(server = name, revision, error = %e, "can't decode registration of a backend server");
             Entry::Wrong
         }
     };
     Change { name, entry, revision: item.revision }
 }
 
-/// Notes what the list of backend servers made this process believe.
-pub fn note_effect(shared: &Shared, name: &str, effect: Effect, revision: u64) {
+/// Applies the consequences of a change of the server registry: connections, quarantine and log.
+pub fn apply_effect(shared: &Shared, name: &str, effect: Effect, revision: u64) {
     if effect == Effect::Stale {
         return;
     }
@@ -301,10 +305,10 @@
     if matches!(effect, Effect::Gone | Effect::Reborn) {
         quarantine::note_gone(shared, name);
     }
-    let joined = shared.roster.borrow().named(name).map(|s| (s.addr, s.id.clone()));
-    if let (Effect::Joined, Some((addr, id))) = (effect, joined) {
+    let joined_server = shared.roster.borrow().named(name).map(|s| (s.addr, s.id.clone()));
+    if let (Effect::Joined, Some((addr, id))) = (effect, joined_server) {
         quarantine::note_joined(shared, addr, &id);
     }
     let born = known.map(|(_, born)| born);
-    tracing::info!(server = name, ?effect, born, revision, "backend server");
+    tracing::info!(server = name, ?effect, born, revision, "backend server registration changed");
 }
--- a/crates/daemon/src/gateway/watch/bypass.rs
+++ b/crates/daemon/src/gateway/watch/roster_watch.rs
@@ -1,9 +1,10 @@
-//! Following the list of backend servers beside an answer of the store that takes long to read.
+//! A second watch, of the server registry alone, while the body of another store answer takes long
+//! to arrive.
 //!
-//! One watch tells everything, which costs the store one call for all news. A configuration of some
-//! thousand routes then takes seconds over a slow link, and a backend server that leaves meanwhile must be
-//! heard of within a bound that is no longer: news with a bound must not wait in line behind news of any
-//! size.
+//! One watch returns the changes of all keys, which costs the store one call for all of them. A
+//! configuration of some thousand routes then takes seconds over a slow link, while a leaving
+//! backend server must be known within a shorter bound. So changes of the registry must not wait
+//! behind a body of any size.
 
 use std::convert::Infallible;
 use std::pin::pin;
@@ -14,16 +15,16 @@
 use ebonyloft_platform::store::{Age, StoreError};
 use futures_util::future::{Either, select};
 
-use super::{PAUSE_MAX, RosterSink, Sink, gather, heard, patience};
+use super::{BACKOFF_MAX, RosterSink, Sink, batch_delay, on_store_answer, watch_timeout};
 use crate::gateway::shared::Shared;
 
-/// How long an answer may take before the list is followed beside it: changes that come together are
-/// gathered for as long, and usual answers are read in a few milliseconds.
-const BEGIN: Duration = Duration::from_millis(150);
+/// How long an answer may take before the second watch starts: as long as changes are batched.
+/// Usual answers are read in a few milliseconds.
+const START_DELAY: Duration = Duration::from_millis(150);
 
-/// Reads an answer, and follows the list of backend servers behind `after` meanwhile, from a new list
-/// when there is none; not at all unless `wanted`.
-pub async fn beside<T>(
+/// Awaits an answer and follows the server registry meanwhile if `wanted`: changes after `after`,
+/// or from a new list if there is none.
+pub async fn during<T>(
     shared: &Rc<Shared>,
     after: Option<u64>,
     wanted: bool,
@@ -39,25 +40,25 @@
 }
 
 async fn follow(shared: &Rc<Shared>, after: Option<u64>) -> Infallible {
-    compio::time::sleep(BEGIN).await;
+    compio::time::sleep(START_DELAY).await;
     let sink = RosterSink(shared.clone());
     let mut from = after;
     loop {
-        let pause = match step(shared, from, &sink).await {
+        let delay = match step(shared, from, &sink).await {
             Ok(revision) => {
                 from = Some(revision);
-                gather(shared)
+                batch_delay(shared)
             }
             Err(StoreError::Compacted) => {
                 from = None;
                 Duration::ZERO
             }
             Err(e) => {
-                tracing::info!(error = %e, "list of backend servers not followed beside an answer");
-                PAUSE_MAX
+                tracing::info!(error = %e, "can't follow the server registry while another answer is read");
+                BACKOFF_MAX
             }
         };
-        compio::time::sleep(pause).await;
+        compio::time::sleep(delay).await;
     }
 }
 
@@ -66,15 +67,15 @@
         let known_at = shared.now();
         let page = shared.store.list(servers::PREFIX, Age::Current).await?;
         sink.replace(page.items, page.revision);
-        heard(shared, servers::PREFIX, known_at);
+        on_store_answer(shared, servers::PREFIX, known_at);
         return Ok(page.revision);
     };
-    let coming = shared.store.watch(servers::PREFIX, after, patience(shared)).await?.coming;
+    let coming = shared.store.watch(servers::PREFIX, after, watch_timeout(shared)).await?.coming;
     let known_at = coming.head_at();
     let page = shared.store.read_watch(coming).await?;
     for item in page.items {
         sink.apply(item);
     }
-    heard(shared, servers::PREFIX, known_at);
+    on_store_answer(shared, servers::PREFIX, known_at);
     Ok(page.revision.max(after))
 }
