--- a/crates/daemon/src/gateway/belief.rs
+++ b/crates/daemon/src/gateway/belief.rs
@@ -150,7 +150,7 @@
 }
 
 /// Answers a peer's request for everything newer than the versions in the query.
-pub fn answer(shared: &Shared, query: Option<&str>) -> Response<http::Body> {
+pub fn handle_request(shared: &Shared, query: Option<&str>) -> Response<http::Body> {
     let Some(theirs) = query.and_then(parse_versions) else {
         return http::response(StatusCode::BAD_REQUEST, "text/plain", http::full("no versions\n"));
     };
--- a/crates/daemon/src/gateway/notes.rs
+++ b/crates/daemon/src/gateway/notes.rs
@@ -32,13 +32,13 @@
 /// Broadcasts local changes to all gateways, each datagram twice in case that one is lost.
 pub async fn tell(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
     loop {
-        let notes = shared.notes.take();
-        if notes.is_empty() {
+        let state = shared.notes.take();
+        if state.is_empty() {
             // The sender lives as long as the process, so this can't fail.
             let _ = shared.inquiries.wake().await;
             continue;
         }
-        for part in split(notes) {
+        for part in split(state) {
             let mut bytes = Vec::new();
             if let Err(e) = ciborium::into_writer(&News::Notes(part), &mut bytes) {
                 tracing::error!(error = %e, "can't encode gossip state");
@@ -61,12 +61,12 @@
 }
 
 /// Splits gossip state into parts that fit one datagram each.
-fn split(notes: Notes) -> Vec<Notes> {
-    let words = notes.words.chunks(RECORDS_MAX);
+fn split(state: Notes) -> Vec<Notes> {
+    let words = state.words.chunks(RECORDS_MAX);
     let words = words.map(|words| Notes { words: words.to_vec(), ..Notes::default() });
-    let leaving = notes.leaving.chunks(RECORDS_MAX);
+    let leaving = state.leaving.chunks(RECORDS_MAX);
     let leaving = leaving.map(|leaving| Notes { leaving: leaving.to_vec(), ..Notes::default() });
-    let limits = notes.limits.chunks(RECORDS_MAX);
+    let limits = state.limits.chunks(RECORDS_MAX);
     let limits = limits.map(|limits| Notes { limits: limits.to_vec(), ..Notes::default() });
     words.chain(leaving).chain(limits).collect()
 }
@@ -77,10 +77,10 @@
 }
 
 /// Applies gossip state received from a peer.
-pub fn apply(shared: &Shared, notes: &Notes, peer: &str) {
-    notes.words.iter().for_each(|word| quarantine::take(shared, word, Some(peer)));
-    notes.leaving.iter().for_each(|id| said::leaving(shared, id, peer));
-    notes.limits.iter().for_each(|word| limits::hear(shared, word, peer));
+pub fn apply(shared: &Shared, state: &Notes, peer: &str) {
+    state.words.iter().for_each(|word| quarantine::take(shared, word, Some(peer)));
+    state.leaving.iter().for_each(|id| said::leaving(shared, id, peer));
+    state.limits.iter().for_each(|word| limits::hear(shared, word, peer));
 }
 
 /// Checksum of the gossip state; zero if the state is empty.
@@ -115,7 +115,7 @@
 
 fn apply_encoded(shared: &Shared, bytes: &[u8], peer: &str) {
     match ciborium::from_reader::<Notes, _>(bytes) {
-        Ok(notes) => apply(shared, &notes, peer),
+        Ok(state) => apply(shared, &state, peer),
         Err(e) => tracing::warn!(peer, error = %e, "can't decode gossip state of peer"),
     }
 }
--- a/crates/daemon/src/gateway/orders.rs
+++ b/crates/daemon/src/gateway/orders.rs
@@ -141,7 +141,10 @@
 
 async fn release(shared: &Shared, leadership: Held) {
     if let Err(e) = shared.store.end(leadership.lease).await {
-        tracing::info!(fence = leadership.fence, error = %e, "can't revoke leadership lease; it expires by itself");
+        tracing::info!(
+            fence = leadership.fence, error = %e,
+            "can't revoke leadership lease; it expires by itself"
+        );
     }
 }
 
@@ -212,14 +215,18 @@
     match reply {
         Ok((status, _)) => {
             let result = engine::read_order(status);
-            tracing::info!(server = %to, ?stage, fence = order.fence, word = ?result, "order answered");
+            tracing::info!(
+                server = %to, ?stage, fence = order.fence, word = ?result, "order answered"
+            );
             if matches!(result, Ordered::Busy | Ordered::Failed(_) | Ordered::Moved) {
                 planner.refused(to);
             }
         }
         // The engine may still carry the order out; the server registry will show it.
         Err(e) => {
-            tracing::info!(server = %to, ?stage, fence = order.fence, error = %e, "order not answered");
+            tracing::info!(
+                server = %to, ?stage, fence = order.fence, error = %e, "order not answered"
+            );
         }
     }
 }
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -26,7 +26,7 @@
 use super::notes;
 use super::quota;
 use super::shared::Shared;
-use super::stream::{self, lend, spill};
+use super::stream::{self, incoming, overflow};
 use crate::http;
 
 /// An idle gateway sends only each second load report, which is often enough to count as live.
@@ -54,19 +54,19 @@
         select(shared.report_requested(), idle_pause).await;
         shared.clear_report_request();
         seq += 1;
-        let mut share = own_report(&shared, incarnation, seq);
+        let mut report = own_report(&shared, incarnation, seq);
         // Load reports are sent several times as often as zone summaries are passed on.
         let now = shared.now();
         if now.since(summaries_sent_at) >= DIGEST_PAUSE && shared.role.borrow().follows() {
             summaries_sent_at = now;
-            share.digests = shared.digests.borrow().passed_on(now).cloned().collect();
+            report.digests = shared.digests.borrow().passed_on(now).cloned().collect();
         }
-        let idle = share.work.is_empty() && share.waiting == 0 && share.changing.is_empty();
+        let idle = report.work.is_empty() && report.waiting == 0 && report.changing.is_empty();
         if idle && !seq.is_multiple_of(IDLE_ROUNDS) {
             continue;
         }
         let mut bytes = Vec::new();
-        if let Err(e) = ciborium::into_writer(&News::Share(share), &mut bytes) {
+        if let Err(e) = ciborium::into_writer(&News::Share(report), &mut bytes) {
             tracing::error!(error = %e, "can't encode load report");
             continue;
         }
@@ -80,9 +80,9 @@
     let Some(mut messages) = shared.take_outbox() else {
         return;
     };
-    while let Some((to, news)) = messages.next().await {
+    while let Some((to, message)) = messages.next().await {
         let mut bytes = Vec::new();
-        if let Err(e) = ciborium::into_writer(&news, &mut bytes) {
+        if let Err(e) = ciborium::into_writer(&message, &mut bytes) {
             tracing::error!(error = %e, "can't encode message to peer");
             continue;
         }
@@ -126,9 +126,9 @@
             continue;
         }
         seq += 1;
-        let digest = own_summary(&shared, incarnation, seq);
+        let summary = own_summary(&shared, incarnation, seq);
         let mut bytes = Vec::new();
-        if let Err(e) = ciborium::into_writer(&News::Digest(digest), &mut bytes) {
+        if let Err(e) = ciborium::into_writer(&News::Digest(summary), &mut bytes) {
             tracing::error!(error = %e, "can't encode zone summary");
             continue;
         }
@@ -140,8 +140,8 @@
 /// Addresses of the leaders of other zones: those that rank first, and those that sent a summary
 /// lately.
 fn leaders_of_other_zones(shared: &Shared) -> Vec<SocketAddr> {
-    let (node, fleet, digests) = (shared.node(), shared.fleet.borrow(), shared.digests.borrow());
-    let senders = digests.passed_on(shared.now()).map(|d| d.addr);
+    let (node, fleet, summaries) = (shared.node(), shared.fleet.borrow(), shared.digests.borrow());
+    let senders = summaries.passed_on(shared.now()).map(|d| d.addr);
     let ranked = fleet.delegates().filter(|g| g.zone != node.zone).map(|g| g.addr);
     let all: BTreeSet<SocketAddr> = senders.chain(ranked).collect();
     all.into_iter().collect()
@@ -169,7 +169,7 @@
         return Vec::new();
     };
     let engines = config.services.iter().filter_map(|s| Some((&s.name, s.engine.as_ref()?)));
-    engines.map(|(name, spec)| stream::room(shared, name, spec)).collect()
+    engines.map(|(name, spec)| stream::zone_capacity(shared, name, spec)).collect()
 }
 
 fn own_report(shared: &Shared, incarnation: u64, seq: u64) -> Share {
@@ -218,11 +218,11 @@
             }
         };
         match ciborium::from_reader::<News, _>(&buffer[..len]) {
-            Ok(News::Share(share)) => on_load_report(&shared, from, share),
-            Ok(News::Digest(digest)) => {
-                let Digest { config, roster, fleet, .. } = digest;
-                notes::compare_checksum(&shared, &digest.name, from, digest.notes);
-                shared.digests.borrow_mut().hear(shared.now(), digest);
+            Ok(News::Share(report)) => on_load_report(&shared, from, report),
+            Ok(News::Digest(summary)) => {
+                let Digest { config, roster, fleet, .. } = summary;
+                notes::compare_checksum(&shared, &summary.name, from, summary.notes);
+                shared.digests.borrow_mut().hear(shared.now(), summary);
                 belief::fetch_newer(&shared, from, Versions { config, roster, fleet });
             }
             Ok(News::Ask(ask)) => quota::serve(&shared, from, &ask),
@@ -236,15 +236,15 @@
     }
 }
 
-fn on_load_report(shared: &Rc<Shared>, from: SocketAddr, share: Share) {
-    let Share { config, roster, fleet, .. } = share;
-    notes::compare_checksum(shared, &share.name, from, share.notes);
-    shared.back_off(&share.changing);
-    let mut share = share;
-    for digest in share.digests.drain(..).filter(|d| d.zone != shared.node().zone) {
-        shared.digests.borrow_mut().hear(shared.now(), digest);
+fn on_load_report(shared: &Rc<Shared>, from: SocketAddr, report: Share) {
+    let Share { config, roster, fleet, .. } = report;
+    notes::compare_checksum(shared, &report.name, from, report.notes);
+    shared.back_off(&report.changing);
+    let mut report = report;
+    for summary in report.digests.drain(..).filter(|d| d.zone != shared.node().zone) {
+        shared.digests.borrow_mut().hear(shared.now(), summary);
     }
-    shared.shares.borrow_mut().hear(shared.now(), share);
+    shared.shares.borrow_mut().hear(shared.now(), report);
     shared.judge_role();
     belief::fetch_newer(shared, from, Versions { config, roster, fleet });
 }
@@ -257,12 +257,12 @@
 
 async fn handle(shared: Rc<Shared>, req: Request<Incoming>) -> Response<http::Body> {
     let path = req.uri().path();
-    if path.starts_with(spill::PATH) {
-        return lend::serve(shared, req).await;
+    if path.starts_with(overflow::PATH) {
+        return incoming::serve(shared, req).await;
     }
     match path {
         notes::PATH => notes::handle_exchange(shared, req).await,
-        belief::PATH => belief::answer(&shared, req.uri().query()),
+        belief::PATH => belief::handle_request(&shared, req.uri().query()),
         _ => http::response(StatusCode::NOT_FOUND, "text/plain", http::full("not here\n")),
     }
 }
--- a/crates/daemon/src/gateway/register.rs
+++ b/crates/daemon/src/gateway/register.rs
@@ -63,7 +63,9 @@
         Ok(gateway) => Some(gateway),
         Err(e) => {
             let revision = item.revision;
-            tracing::warn!(key = item.key, revision, error = %e, "can't decode gateway registration");
+            tracing::warn!(
+                key = item.key, revision, error = %e, "can't decode gateway registration"
+            );
             None
         }
     }
--- a/crates/daemon/src/gateway/shared.rs
+++ b/crates/daemon/src/gateway/shared.rs
@@ -44,7 +44,7 @@
 use super::digest::Digester;
 use super::pool::Pool;
 use super::store::StoreClient;
-use super::stream::lend::Guests;
+use super::stream::incoming::IncomingReservations;
 use super::uploads::Uploads;
 use crate::clock::Clock;
 use crate::metrics::Metrics;
@@ -120,7 +120,7 @@
     /// Summaries of other availability zones.
     pub digests: RefCell<Digests>,
     /// Reservations here that serve requests of other zones.
-    pub incoming: RefCell<Guests>,
+    pub incoming: RefCell<IncomingReservations>,
     /// Retry budgets, by service.
     budgets: RefCell<HashMap<String, Budget>>,
     /// Registered gateways.
@@ -275,9 +275,9 @@
     }
 
     /// Queues a message to one peer.
-    pub fn post(&self, to: SocketAddr, news: News) {
+    pub fn post(&self, to: SocketAddr, message: News) {
         // The receiver lives as long as the process, so this can't fail.
-        let _ = self.outbox.unbounded_send((to, news));
+        let _ = self.outbox.unbounded_send((to, message));
     }
 
     /// The receiver of queued messages; returned once.
@@ -297,8 +297,8 @@
 
     /// Number of live gateways, this one included.
     pub fn entries(&self) -> usize {
-        let heard = 1 + self.shares.borrow().live(self.now());
-        heard.max(self.fleet.borrow().all().len())
+        let live = 1 + self.shares.borrow().live(self.now());
+        live.max(self.fleet.borrow().all().len())
     }
 
     /// Whether engines are shared with all gateways or with those of the own zone.
@@ -352,20 +352,21 @@
     pub fn judge_role(&self) {
         let (now, node) = (self.now(), self.node());
         let (fleet, shares) = (self.fleet.borrow(), self.shares.borrow());
-        let heard = |name: &str| matches!(shares.link(now, name), Some(Link::Heard { .. }));
+        let reaches_store = |name: &str| matches!(shares.link(now, name), Some(Link::Heard { .. }));
         let ahead: Vec<&str> = fleet.ahead(&node.name).map_or_else(Vec::new, Iterator::collect);
-        let (ahead_count, heard) = (ahead.len(), ahead.iter().filter(|n| heard(n)).count());
+        let (ahead_count, reaching) =
+            (ahead.len(), ahead.iter().filter(|n| reaches_store(n)).count());
         // A gateway without a complete server registry reads it from the store, which is faster
         // than to wait for peers.
-        let heard = if self.roster.borrow().is_complete() { heard } else { 0 };
+        let reaching = if self.roster.borrow().is_complete() { reaching } else { 0 };
         let mut role = self.role.borrow_mut();
         let before = role.follows();
-        role.judge(now, ahead_count, heard);
+        role.judge(now, ahead_count, reaching);
         if role.follows() != before {
             tracing::info!(
                 follows = role.follows(),
                 ahead = ahead_count,
-                heard,
+                heard = reaching,
                 "role in following the store changed"
             );
             self.metrics.gauge("gateway.follows", u64::from(role.follows()));
--- a/crates/daemon/src/gateway/stream.rs
+++ b/crates/daemon/src/gateway/stream.rs
@@ -1,17 +1,18 @@
-//! A request whose answer is an event stream, written by a model engine.
+//! Streams: requests whose answer is an event stream written by a model engine.
 //!
-//! A place in an engine's memory is reserved first, then the prompt is read by another engine and
-//! fetched from there, then events are passed on as they come. A stream that may be resumed goes on
-//! at another engine behind its last event, within the same answer. What the own availability zone can't
-//! serve in time is placed by another one.
+//! The gateway first reserves memory at a decode engine, then has a prefill engine read the
+//! prompt, whose state the decode engine fetches from there, and then relays the events as they
+//! come. If an engine fails, a resumable stream continues at another engine after its last event,
+//! within the same response. A request that the gateway's own availability zone can't serve in
+//! time is placed in another zone.
 
-mod flight;
-pub mod lend;
-mod outlet;
-mod pass;
-mod place;
-mod read;
-pub mod spill;
+mod admission;
+pub mod incoming;
+pub mod overflow;
+mod prefill;
+mod relay;
+mod response;
+mod state;
 
 use std::time::Duration;
 
@@ -28,8 +29,8 @@
 use http_body_util::BodyExt;
 use hyper::Response;
 
-use self::flight::Flight;
-use self::outlet::Outlet;
+use self::response::ResponseStream;
+use self::state::StreamState;
 use super::answer::{self, Body, Cause};
 use super::call;
 use super::intake::Intake;
@@ -41,23 +42,24 @@
 use super::send::{self, Expect, Head};
 use super::shared::{Basis, Shared};
 
-/// Silence after which a stream that may be resumed goes on elsewhere: five times the longest pause
-/// that is still in time, and well before callers leave.
-pub const SILENCE: Duration = Duration::from_millis(1_500);
-/// Rank of a request that is too late for its goal; the usual rank is 5.
-const LATE_RANK: u8 = 7;
-/// Rank of a stream that goes on elsewhere: its caller has part of the answer.
-const RESUME_RANK: u8 = 3;
+/// Silence after which a resumable stream is continued at another engine: five times the longest
+/// pause that is still in time, and well before callers give up.
+pub const STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Priority of a request that is too late for its latency goal; the default is 5, lower is more
+/// urgent.
+const LATE_PRIORITY: u8 = 7;
+/// Priority of a stream that continues at another engine: its caller has part of the answer.
+const RESUME_PRIORITY: u8 = 3;
 
-/// Why no more can be done for a request.
-enum Stop {
-    /// Tell the caller why; come back after the moment, if there is one.
+/// Why a stream ended without a complete answer.
+enum StreamError {
+    /// Refuse the request; the caller may retry after the time, if there is one.
     Refused(Cause, Option<Timestamp>),
-    /// Pass on a failure that a backend server answered with.
+    /// Pass on an error response of a backend server.
     Failed(Box<send::Whole>),
 }
 
-/// Serves a stream; stops when the caller is gone or the time is over.
+/// Serves a stream until its end; stops if the caller disconnects or the deadline passes.
 pub async fn run(
     shared: &Shared,
     intake: &Intake,
@@ -66,22 +68,22 @@
 ) {
     retries::begin(shared, intake);
     let progress = Progress::new(intake.is_repeatable(), intake.route().attempts);
-    let mut flight = Flight::new(progress);
-    let mut out = Outlet::new(reply);
+    let mut state = StreamState::new(progress);
+    let mut out = ResponseStream::new(reply);
     let left = intake.ends_at.since(shared.now());
-    let work = deliver(shared, intake, &mut flight, &mut out);
-    let ended = answer::unless_gone(gone, compio::time::timeout(left, work)).await;
-    let events = out.events();
-    if let Some((server, at)) = flight.open.take() {
-        let run = flight.run(shared.now());
+    let work = deliver(shared, intake, &mut state, &mut out);
+    let result = answer::unless_gone(gone, compio::time::timeout(left, work)).await;
+    let events = out.batches();
+    if let Some((server, at)) = state.open_attempt.take() {
+        let run = state.run_phase(shared.now());
         quarantine::note_left(shared, intake, Sent { server: &server, run, at });
     }
-    let word = conclude(shared, intake, &flight, out, ended);
-    if word == WHOLE {
-        observe(shared, intake, &flight);
+    let word = send_result(shared, intake, &state, out, result);
+    if word == COMPLETE {
+        learn_length(shared, intake, &state);
     }
-    let pause = flight.pause.as_millis() as u64;
-    flight.close(shared, word == WHOLE);
+    let pause = state.longest_gap.as_millis() as u64;
+    state.close(shared, word == COMPLETE);
     retries::close(shared, intake);
     let ms = shared.now().since(intake.came_at).as_millis() as u64;
     tracing::info!(
@@ -91,33 +93,33 @@
     shared.metrics.time("gateway.stream_ms", ms);
 }
 
-/// How a stream's work ended: none when its caller is gone, an error when its time is over.
-type Ended = Option<Result<Result<(), Stop>, compio::time::Elapsed>>;
+/// How a stream ended: none if its caller disconnected, an error if its deadline passed.
+type StreamResult = Option<Result<Result<(), StreamError>, compio::time::Elapsed>>;
 
-/// Log word of a stream that was passed on to its end.
-const WHOLE: &str = "whole";
+/// Value of the log field `word` for a stream that was relayed to its end.
+const COMPLETE: &str = "whole";
 
-/// Gives the caller its final answer and a word for the log.
-fn conclude(
+/// Sends the caller the end of the response; returns the value of the log field `word`.
+fn send_result(
     shared: &Shared,
     intake: &Intake,
-    flight: &Flight,
-    mut out: Outlet,
-    ended: Ended,
+    state: &StreamState,
+    mut out: ResponseStream,
+    result: StreamResult,
 ) -> &'static str {
-    let verdict = flight.progress.verdict();
-    let (cause, retry_at) = match ended {
+    let verdict = state.progress.verdict();
+    let (cause, retry_at) = match result {
         None => return "caller gone",
         Some(Ok(Ok(()))) => {
             out.finish();
-            return WHOLE;
+            return COMPLETE;
         }
-        Some(Ok(Err(Stop::Failed(answer)))) => {
-            out.fail(*answer);
+        Some(Ok(Err(StreamError::Failed(answer)))) => {
+            out.send_failure(*answer);
             return "failed";
         }
-        Some(Ok(Err(Stop::Refused(cause, retry_at)))) => (cause, retry_at),
-        Some(Err(_)) => (Cause::Timeout, retry_at(shared, intake, flight)),
+        Some(Ok(Err(StreamError::Refused(cause, retry_at)))) => (cause, retry_at),
+        Some(Err(_)) => (Cause::Timeout, retry_at(shared, intake, state)),
     };
     let retry = retry_at.map(|at| at.since(shared.now()));
     let Basis { config, roster, age } = shared.basis();
@@ -126,22 +128,22 @@
         "request refused"
     );
     shared.metrics.count("gateway.refused", 1);
-    out.refuse(cause, verdict, retry);
+    out.send_refusal(cause, verdict, retry);
     if cause == Cause::Timeout { "timeout" } else { "refused" }
 }
 
 async fn deliver(
     shared: &Shared,
     intake: &Intake,
-    flight: &mut Flight,
-    out: &mut Outlet,
-) -> Result<(), Stop> {
+    state: &mut StreamState,
+    out: &mut ResponseStream,
+) -> Result<(), StreamError> {
     let engine = intake.config.service(&intake.service).and_then(|s| s.engine.clone());
     let mut splitter = Splitter::behind(intake.caller.after);
     let mut tried: Vec<ServerId> = Vec::new();
     let mut failure = None;
     let mut cause = Cause::NoServer;
-    while flight.progress.may_send() {
+    while state.progress.may_send() {
         if quarantine::is_proved(shared, &intake.content) {
             cause = Cause::Quarantined;
             break;
@@ -155,37 +157,41 @@
             break;
         }
         let server = match &engine {
-            Some(engine) => prepare(shared, intake, engine, flight, &tried, out.begun()).await?,
-            None => plain(shared, intake, &tried).await.ok_or(Stop::Refused(cause, None))?,
+            Some(engine) => {
+                reserve_and_prefill(shared, intake, engine, state, &tried, out.has_begun()).await?
+            }
+            None => pick_plain_server(shared, intake, &tried)
+                .await
+                .ok_or(StreamError::Refused(cause, None))?,
         };
-        flight.progress.begin();
-        flight.advanced_at = None;
-        let begun = shared.now();
-        flight.open = Some((server.clone(), begun));
-        let (fate, answer) = attempt(shared, intake, &server, flight, out, &mut splitter).await;
+        state.progress.begin();
+        state.first_event_at = None;
+        let started_at = shared.now();
+        state.open_attempt = Some((server.clone(), started_at));
+        let (fate, answer) = attempt(shared, intake, &server, state, out, &mut splitter).await;
         let now = shared.now();
-        flight.progress.note(fate);
-        let run = flight.run(now);
-        flight.open = None;
-        quarantine::note_fate(shared, intake, Sent { server: &server, run, at: begun }, fate);
+        state.progress.note(fate);
+        let run = state.run_phase(now);
+        state.open_attempt = None;
+        quarantine::note_fate(shared, intake, Sent { server: &server, run, at: started_at }, fate);
         tracing::info!(
             id = intake.id(), content = %intake.content, server = %server.id, ?fate,
-            events = splitter.count(), last = splitter.last(), "stream sent"
+            events = splitter.count(), last = splitter.last(), "stream attempt ended"
         );
         if matches!(fate, Fate::Answered(200)) {
             return Ok(());
         }
         if fate == Fate::Rejected {
-            // The prompt that was read may still be fetched by another engine.
-            flight.give_up_place(shared, now);
+            // The prefilled prompt may still be fetched by another engine.
+            state.drop_reservation(shared, now);
         } else {
-            flight.release(shared, now, false);
+            state.release(shared, now, false);
         }
         tried.push(server.id.clone());
         match fate {
             Fate::Answered(_) => failure = answer,
             Fate::Moved => call::gone(shared, &server.id),
-            // An engine that said how long it wants nothing is passed over until then.
+            // An engine that asked for a back-off gets no requests until it is over.
             Fate::Rejected | Fate::Unsent if said::rests(shared, &server.id) => {
                 cause = Cause::Overload;
             }
@@ -204,74 +210,76 @@
         }
     }
     match failure {
-        Some(answer) => Err(Stop::Failed(Box::new(answer))),
-        None => Err(Stop::Refused(cause, retry_at(shared, intake, flight))),
+        Some(answer) => Err(StreamError::Failed(Box::new(answer))),
+        None => Err(StreamError::Refused(cause, retry_at(shared, intake, state))),
     }
 }
 
-/// What this zone's engines of a service have left, for other zones.
-pub fn room(shared: &Shared, service: &str, spec: &Engine) -> Room {
+/// Free capacity of this zone's engines of a service, published to other zones.
+pub fn zone_capacity(shared: &Shared, service: &str, spec: &Engine) -> Room {
     let now = shared.now();
     let prompt = shared.service_estimates(service).shape.prompt();
-    let read_at = match read::nearest(shared, service, prompt, now) {
+    let read_at = match prefill::fastest_engine(shared, service, prompt, now) {
         Some((_, at)) => at,
-        None => read::alone(shared, service, prompt, now),
+        None => prefill::local_ready_at(shared, service, prompt, now),
     };
-    let free = place::free(shared, service, spec).max(0.0) * 1_000.0;
-    let places = place::places(shared, service, spec);
+    let free = admission::free_fraction(shared, service, spec).max(0.0) * 1_000.0;
+    let places = admission::free_slots(shared, service, spec);
     let read = read_at.since(now).as_millis() as u32;
     Room { service: service.to_owned(), free: free as u32, places, read }
 }
 
 /// Tokens in one event of the service's engines.
-fn stride(intake: &Intake) -> u64 {
+fn tokens_per_event(intake: &Intake) -> u64 {
     let service = intake.config.service(&intake.service);
     service.and_then(|s| s.engine.as_ref()).map_or(1, |e| u64::from(e.stride))
 }
 
-/// Learns lengths from an answer that ended.
-fn observe(shared: &Shared, intake: &Intake, flight: &Flight) {
+/// Updates the length estimates from a complete answer.
+fn learn_length(shared: &Shared, intake: &Intake, state: &StreamState) {
     let mut learned = shared.learned.borrow_mut();
     let lengths = learned.lengths(&intake.route().name);
-    lengths.observe(intake.caller.output, intake.caller.hint, flight.made);
+    lengths.observe(intake.caller.output, intake.caller.hint, state.generated);
 }
 
-/// When a request that did not run is worth sending again.
-fn retry_at(shared: &Shared, intake: &Intake, flight: &Flight) -> Option<Timestamp> {
+/// When a caller should retry; none if the request may have run.
+fn retry_at(shared: &Shared, intake: &Intake, state: &StreamState) -> Option<Timestamp> {
     let at = engines::come_back(shared.now(), intake.ends_at, shared.draw());
-    (flight.progress.verdict() == Verdict::NotRun).then_some(at)
+    (state.progress.verdict() == Verdict::NotRun).then_some(at)
 }
 
-/// A place, and the prompt read elsewhere if that is sooner.
-async fn prepare(
+/// Reserves memory at a decode engine, and has the prompt read by a prefill engine if that is
+/// faster.
+async fn reserve_and_prefill(
     shared: &Shared,
     intake: &Intake,
     engine: &Engine,
-    flight: &mut Flight,
+    state: &mut StreamState,
     tried: &[ServerId],
-    begun: bool,
-) -> Result<Server, Stop> {
+    resumed: bool,
+) -> Result<Server, StreamError> {
     loop {
-        let server = place::take(shared, intake, engine, flight, tried, begun).await?;
-        if flight.source.as_ref().is_some_and(|s| s.until <= shared.now()) {
-            flight.drop_source(shared);
+        let server = admission::admit(shared, intake, engine, state, tried, resumed).await?;
+        if state.prompt_handle.as_ref().is_some_and(|handle| handle.until <= shared.now()) {
+            state.drop_prompt_handle(shared);
         }
-        if flight.source.is_none() {
-            read::elsewhere(shared, intake, flight).await;
+        if state.prompt_handle.is_none() {
+            prefill::run(shared, intake, state).await;
         }
-        // It may have begun to leave while the prompt was read.
+        // The decode engine may have begun to leave while the prompt was read.
         if said::takes(shared, &server.id) {
             return Ok(server);
         }
         tracing::info!(
-            id = intake.id(), server = %server.id, "place given up: the engine leaves, or wants nothing"
+            id = intake.id(), server = %server.id,
+            "reservation dropped: the engine is leaving or asked for a back-off"
         );
-        flight.give_up_place(shared, shared.now());
+        state.drop_reservation(shared, shared.now());
     }
 }
 
-/// A backend server that is no model engine, as for a call.
-async fn plain(shared: &Shared, intake: &Intake, tried: &[ServerId]) -> Option<Server> {
+/// Picks a plain backend server, as for a call.
+async fn pick_plain_server(shared: &Shared, intake: &Intake, tried: &[ServerId]) -> Option<Server> {
     loop {
         let server = call::pick(shared, intake, shared.now(), tried)?;
         if limits::take(shared, &server.id, 1).await {
@@ -280,56 +288,56 @@
     }
 }
 
-/// One send, its events passed on as they come.
+/// Sends the request to one backend server and relays its events.
 async fn attempt(
     shared: &Shared,
     intake: &Intake,
     server: &Server,
-    flight: &mut Flight,
-    out: &mut Outlet,
+    state: &mut StreamState,
+    out: &mut ResponseStream,
     splitter: &mut Splitter,
 ) -> (Fate, Option<send::Whole>) {
     let now = shared.now();
     let mut req = intake.request(now, &server.id);
     let headers = req.headers_mut();
-    flight.decorate(headers);
-    if out.begun() {
-        headers::set_priority(headers, RESUME_RANK);
+    state.set_headers(headers);
+    if out.has_begun() {
+        headers::set_priority(headers, RESUME_PRIORITY);
         if let Some(last) = splitter.last() {
             headers::set_after(headers, last);
         }
     } else if now > intake.goal_at {
-        headers::set_priority(headers, LATE_RANK);
+        headers::set_priority(headers, LATE_PRIORITY);
     }
     let sent = send::head(shared, intake, server, req, Expect::Signature);
-    let head = match silence(intake, sent).await {
+    let head = match with_stall_timeout(intake, sent).await {
         Some(Ok(head)) => head,
         Some(Err(fate)) => return (fate, None),
         None => return (Fate::Lost, None),
     };
     let fate = Fate::of(&head.reply, intake.caller.attempt.as_deref());
     if fate != Fate::Answered(200) {
-        return (fate, failure(shared, head, fate).await);
+        return (fate, read_failure(shared, head, fate).await);
     }
-    flight.used();
+    state.mark_used();
     shared.engines.borrow_mut().took(&server.id);
-    let fate = pass::pass_on(shared, intake, head, flight, out, splitter).await;
+    let fate = relay::relay(shared, intake, head, state, out, splitter).await;
     (fate, None)
 }
 
-/// Bounds a wait for a stream that may go on elsewhere.
-async fn silence<F: Future>(intake: &Intake, wait: F) -> Option<F::Output> {
+/// Bounds a wait by the stall timeout if the stream may continue elsewhere.
+async fn with_stall_timeout<F: Future>(intake: &Intake, wait: F) -> Option<F::Output> {
     if intake.is_repeatable() {
-        return compio::time::timeout(SILENCE, wait).await.ok();
+        return compio::time::timeout(STALL_TIMEOUT, wait).await.ok();
     }
     Some(wait.await)
 }
 
-/// Reads a failure whole, so that it can be passed on.
-async fn failure(shared: &Shared, head: Head, fate: Fate) -> Option<send::Whole> {
+/// Reads the whole body of an error response, so that it can be passed on.
+async fn read_failure(shared: &Shared, head: Head, fate: Fate) -> Option<send::Whole> {
     let Head { reply, response, conn } = head;
     let (status, headers) = (response.status(), headers::returned(response.headers()));
-    let read = compio::time::timeout(SILENCE, response.into_body().collect()).await;
+    let read = compio::time::timeout(STALL_TIMEOUT, response.into_body().collect()).await;
     let Ok(Ok(body)) = read else {
         conn.close();
         return None;
--- a/crates/daemon/src/gateway/stream/place.rs
+++ b/crates/daemon/src/gateway/stream/admission.rs
@@ -1,4 +1,4 @@
-//! A place in an engine's memory, reserved at the engine before anything is read.
+//! Admission: memory is reserved at a decode engine before the prompt is read.
 
 use std::time::Duration;
 
@@ -12,8 +12,8 @@
 use ebonyloft_router::share::Work;
 use futures_util::future::select;
 
-use super::flight::{Flight, Place};
-use super::{Stop, read, spill};
+use super::state::{Reservation, StreamState};
+use super::{StreamError, overflow, prefill};
 use crate::gateway::answer::Cause;
 use crate::gateway::intake::Intake;
 use crate::gateway::limits;
@@ -21,52 +21,59 @@
 use crate::gateway::shared::{Basis, Shared};
 
 /// Requests that an engine gets for one answer: the reservation, and the run that uses it.
-const REQUESTS: u64 = 2;
-/// Longest wait for an engine to reserve a place; it answers within a few milliseconds.
-const HOLD_WAIT: Duration = Duration::from_millis(150);
-/// How soon a stream that was broken off must go on: callers leave after a few seconds' silence.
-const RESUME_WAIT: Duration = Duration::from_millis(1_000);
+const REQUESTS_PER_ANSWER: u64 = 2;
+/// Timeout of a reservation; an engine answers within a few milliseconds.
+const RESERVE_TIMEOUT: Duration = Duration::from_millis(150);
+/// Deadline for continuing an interrupted stream: callers give up after a few seconds without an
+/// event.
+const RESUME_WITHIN: Duration = Duration::from_millis(1_000);
 
-/// Reserves a place, waiting in line if that is worth it.
-pub async fn take(
+/// Reserves memory at a decode engine; waits in the admission queue if that is worthwhile.
+pub async fn admit(
     shared: &Shared,
     intake: &Intake,
     spec: &Engine,
-    flight: &mut Flight,
+    state: &mut StreamState,
     tried: &[ServerId],
-    begun: bool,
-) -> Result<Server, Stop> {
-    let joined = shared.now();
-    let growth = expect(shared, intake);
-    let need = need(shared, intake, flight, growth, joined, begun);
-    let read_at = read::foretold(shared, intake, flight, joined);
-    let ticket = shared.engines.borrow_mut().join(joined, need, read_at);
-    flight.ticket = Some(ticket);
+    resumed: bool,
+) -> Result<Server, StreamError> {
+    let joined_at = shared.now();
+    let growth = expected_growth(shared, intake);
+    let need = need(shared, intake, state, growth, joined_at, resumed);
+    let read_at = prefill::predicted_ready_at(shared, intake, state, joined_at);
+    let ticket = shared.engines.borrow_mut().join(joined_at, need, read_at);
+    state.ticket = Some(ticket);
     loop {
         let now = shared.now();
-        if let Some(at) = all_rest(shared, intake, tried).filter(|at| *at >= need.first_by) {
-            leave(shared, flight);
-            return Err(Stop::Refused(Cause::Overload, Some(at)));
+        if let Some(at) =
+            all_backed_off_until(shared, intake, tried).filter(|at| *at >= need.first_by)
+        {
+            leave_queue(shared, state);
+            return Err(StreamError::Refused(Cause::Overload, Some(at)));
         }
-        let advice = advise(shared, intake, spec, flight, tried, now);
-        let short = || is_short(shared, intake, spec, flight, &need, now);
+        let advice = advise(shared, intake, spec, state, tried, now);
+        let lacks_now = || lacks_capacity(shared, intake, spec, state, &need, now);
         if !matches!(advice, Advice::Ask(_))
-            && spill::is_allowed(shared, flight)
-            && short()
-            && let Some(zone) = spill::choose(shared, intake, flight, &need)
+            && overflow::is_allowed(shared, state)
+            && lacks_now()
+            && let Some(zone) = overflow::choose_zone(shared, intake, state, &need)
         {
-            if let Some(server) = spill::ask(shared, intake, flight, &need, growth, zone).await {
-                leave(shared, flight);
-                log_placed(shared, intake, spec, &need, &server, joined);
+            if let Some(server) =
+                overflow::reserve(shared, intake, state, &need, growth, zone).await
+            {
+                leave_queue(shared, state);
+                log_placed(shared, intake, spec, &need, &server, joined_at);
                 return Ok(server);
             }
             continue;
         }
         match advice {
             Advice::Ask(id) => {
-                if let Some(server) = ask(shared, spec, flight, &id, need.memory, growth).await {
-                    leave(shared, flight);
-                    log_placed(shared, intake, spec, &need, &server, joined);
+                if let Some(server) =
+                    reserve_at(shared, spec, state, &id, need.memory, growth).await
+                {
+                    leave_queue(shared, state);
+                    log_placed(shared, intake, spec, &need, &server, joined_at);
                     return Ok(server);
                 }
             }
@@ -75,25 +82,25 @@
                 select(shared.capacity_freed(), timer).await;
             }
             Advice::Refuse(retry_at, lack) => {
-                leave(shared, flight);
-                log_refused(shared, intake, spec, &need, flight, joined, lack);
-                return Err(Stop::Refused(Cause::Overload, Some(retry_at)));
+                leave_queue(shared, state);
+                log_refused(shared, intake, spec, &need, state, joined_at, lack);
+                return Err(StreamError::Refused(Cause::Overload, Some(retry_at)));
             }
         }
     }
 }
 
-/// When the first engine that writes takes something again, if all that could be asked want nothing now;
-/// other zones' may be asked where zones decide for themselves.
-fn all_rest(shared: &Shared, intake: &Intake, tried: &[ServerId]) -> Option<Timestamp> {
+/// When the first decode engine accepts requests again, if all that could be asked have asked for
+/// a back-off. Engines of other zones count too, since this zone's gateways may ask those zones.
+fn all_backed_off_until(shared: &Shared, intake: &Intake, tried: &[ServerId]) -> Option<Timestamp> {
     let roster = shared.roster.borrow();
-    let writers = roster.ready(&intake.service).filter(|s| s.stage == Some(Stage::Decode));
-    let left = writers.filter(|s| !tried.contains(&s.id));
+    let engines = roster.ready(&intake.service).filter(|s| s.stage == Some(Stage::Decode));
+    let left = engines.filter(|s| !tried.contains(&s.id));
     said::soonest(shared, left)
 }
 
-/// What is expected of the answer, by what was learned of its route.
-fn expect(shared: &Shared, intake: &Intake) -> Growth {
+/// Expected growth of the answer, as learned for its route.
+fn expected_growth(shared: &Shared, intake: &Intake) -> Growth {
     let mut learned = shared.learned.borrow_mut();
     learned.lengths(&intake.route().name).expect(intake.caller.output, intake.caller.hint)
 }
@@ -101,61 +108,62 @@
 fn need(
     shared: &Shared,
     intake: &Intake,
-    flight: &Flight,
+    state: &StreamState,
     growth: Growth,
     now: Timestamp,
-    begun: bool,
+    resumed: bool,
 ) -> Need {
-    let first_by = if begun { now.after(RESUME_WAIT) } else { intake.goal_at };
+    let first_by = if resumed { now.after(RESUME_WITHIN) } else { intake.goal_at };
     let prompt = intake.caller.prompt;
     let mut learned = shared.service_estimates(&intake.service);
     learned.usual.observe(&growth, prompt);
-    if !begun {
+    if !resumed {
         learned.shape.observe(prompt as f64, growth.length());
     }
-    let memory = growth.profile(prompt, flight.made);
+    let memory = growth.profile(prompt, state.generated);
     let gives = learned.usual.gives(&growth, prompt);
-    Need { memory, first_by, ends_at: intake.ends_at, gives, begun }
+    Need { memory, first_by, ends_at: intake.ends_at, gives, begun: resumed }
 }
 
 fn advise(
     shared: &Shared,
     intake: &Intake,
     spec: &Engine,
-    flight: &Flight,
+    state: &StreamState,
     tried: &[ServerId],
     now: Timestamp,
 ) -> Advice {
-    let read_at = read::foretold(shared, intake, flight, now);
+    let read_at = prefill::predicted_ready_at(shared, intake, state, now);
     let entries = shared.gateways_in_scope();
     let roster = shared.roster.borrow();
-    let servers = writers(shared, &roster, &intake.service).filter(|s| !tried.contains(&s.id));
+    let servers =
+        decode_engines(shared, &roster, &intake.service).filter(|s| !tried.contains(&s.id));
     let shares = shared.shares.borrow();
-    let ticket = flight.ticket.expect("a request in line has a ticket");
+    let ticket = state.ticket.expect("a queued request has a ticket");
     let work = |id: &ServerId| shares.work(now, id);
     let view = View { engine: spec, read_at, entries };
     shared.engines.borrow().advise(now, ticket, &view, servers, work, || shared.draw())
 }
 
-/// Can the request not be served here now?
-fn is_short(
+/// True if this zone's engines can't serve the request now.
+fn lacks_capacity(
     shared: &Shared,
     intake: &Intake,
     spec: &Engine,
-    flight: &Flight,
+    state: &StreamState,
     need: &Need,
     now: Timestamp,
 ) -> bool {
-    let read_at = read::foretold(shared, intake, flight, now);
+    let read_at = prefill::predicted_ready_at(shared, intake, state, now);
     let (roster, shares) = (shared.roster.borrow(), shared.shares.borrow());
     let view = View { engine: spec, read_at, entries: shared.gateways_in_scope() };
-    let servers = writers(shared, &roster, &intake.service);
+    let servers = decode_engines(shared, &roster, &intake.service);
     let work = |id: &ServerId| shares.work(now, id);
     shared.engines.borrow().is_short(now, need, &view, servers, work)
 }
 
-/// Engines of a service that write answers, of those that are placed at from here.
-pub fn writers<'a>(
+/// A service's decode engines that this gateway uses, without those that asked for a back-off.
+pub fn decode_engines<'a>(
     shared: &'a Shared,
     roster: &'a Roster,
     service: &'a str,
@@ -166,59 +174,60 @@
     roster.ready(service).filter(|s| s.stage == Some(Stage::Decode)).filter(here).filter(open)
 }
 
-/// The same in percent, for the log.
-fn percent(shared: &Shared, intake: &Intake, spec: &Engine) -> u64 {
-    (free(shared, &intake.service, spec) * 100.0) as u64
+/// Free memory in percent, for the log.
+fn free_percent(shared: &Shared, intake: &Intake, spec: &Engine) -> u64 {
+    (free_fraction(shared, &intake.service, spec) * 100.0) as u64
 }
 
-/// Free part of the memory of all engines that write and are placed at from here.
-pub fn free(shared: &Shared, service: &str, spec: &Engine) -> f64 {
+/// Free fraction of the memory of all decode engines that this gateway uses.
+pub fn free_fraction(shared: &Shared, service: &str, spec: &Engine) -> f64 {
     let (now, roster) = (shared.now(), shared.roster.borrow());
     let shares = shared.shares.borrow();
-    let servers: Vec<&Server> = writers(shared, &roster, service).collect();
+    let servers: Vec<&Server> = decode_engines(shared, &roster, service).collect();
     let engines = shared.engines.borrow();
     engines.free(now, &servers, spec, |id| shares.work(now, id))
 }
 
-/// Usual requests that find a place at engines that are placed at from here.
-pub fn places(shared: &Shared, service: &str, spec: &Engine) -> u32 {
+/// Number of typical requests that fit into the engines that this gateway uses.
+pub fn free_slots(shared: &Shared, service: &str, spec: &Engine) -> u32 {
     let usual = shared.service_estimates(service).shape.memory();
     let (now, roster) = (shared.now(), shared.roster.borrow());
     let shares = shared.shares.borrow();
-    let servers: Vec<&Server> = writers(shared, &roster, service).collect();
+    let servers: Vec<&Server> = decode_engines(shared, &roster, service).collect();
     let engines = shared.engines.borrow();
     engines.places(now, &servers, spec, usual, |id| shares.work(now, id))
 }
 
-fn leave(shared: &Shared, flight: &mut Flight) {
-    if let Some(ticket) = flight.ticket.take() {
+fn leave_queue(shared: &Shared, state: &mut StreamState) {
+    if let Some(ticket) = state.ticket.take() {
         shared.engines.borrow_mut().leave(ticket);
     }
     shared.wake_all();
 }
 
-/// Asks one engine for a place.
-async fn ask(
+/// Asks one engine for a reservation.
+async fn reserve_at(
     shared: &Shared,
     spec: &Engine,
-    flight: &mut Flight,
+    state: &mut StreamState,
     id: &ServerId,
     memory: Profile,
     growth: Growth,
 ) -> Option<Server> {
     let server = shared.roster.borrow().get(id).cloned()?;
-    flight.place = Some(Place { server: server.clone(), hold: None, memory, growth, loan: None });
+    state.reservation =
+        Some(Reservation { server: server.clone(), hold_id: None, memory, growth, remote: None });
     let hold = reserve(shared, spec, &server, memory).await;
-    if let (Some(place), Some(hold)) = (&mut flight.place, hold) {
-        place.hold = Some(hold);
+    if let (Some(reservation), Some(hold)) = (&mut state.reservation, hold) {
+        reservation.hold_id = Some(hold);
         return Some(server);
     }
-    flight.place = None;
+    state.reservation = None;
     None
 }
 
-/// Counts memory at an engine and has it reserved there; what is refused is not counted any more, and the
-/// engine is left alone for a while.
+/// Counts memory at an engine and reserves it there. If the engine refuses, the memory is no
+/// longer counted, and the engine is not asked again for a while.
 pub async fn reserve(
     shared: &Shared,
     spec: &Engine,
@@ -226,13 +235,13 @@
     memory: Profile,
 ) -> Option<String> {
     let id = &server.id;
-    if !limits::take(shared, id, REQUESTS).await {
+    if !limits::take(shared, id, REQUESTS_PER_ANSWER).await {
         return None;
     }
     shared.engines.borrow_mut().placed(id, memory);
     shared.request_report();
     let req = engine::hold(id, memory.reserved(), spec.hold.as_millis() as u64);
-    let answer = said::call(shared, server, req, HOLD_WAIT).await;
+    let answer = said::call(shared, server, req, RESERVE_TIMEOUT).await;
     let now = shared.now();
     let hold = answer.as_ref().ok().and_then(|(status, body)| engine::read_hold(*status, body));
     if hold.is_some() {
@@ -247,14 +256,15 @@
             let asked = memory.reserved();
             tracing::info!(
                 server = %id, %status, asked, tokens = all.now(), peak = all.peak(), count,
-                "no place at this engine"
+                "engine refused reservation"
             );
             shared.metrics.count("gateway.hold.full", 1);
             engines.full(now, id);
         }
         Err(e) => {
-            tracing::info!(server = %id, error = %e, "engine cannot be reached");
-            // Who leaves or wants nothing was not asked at all.
+            tracing::info!(server = %id, error = %e, "can't reach engine");
+            // An engine that is leaving or asked for a back-off got no request, so it has no
+            // fault.
             if said::takes(shared, id) {
                 engines.fault(now, id);
             }
@@ -268,14 +278,15 @@
     intake: &Intake,
     spec: &Engine,
     need: &Need,
-    flight: &Flight,
-    joined: Timestamp,
+    state: &StreamState,
+    joined_at: Timestamp,
     lack: Lack,
 ) {
-    let free = percent(shared, intake, spec);
+    let free = free_percent(shared, intake, spec);
     let now = shared.now();
-    let ms = now.since(joined).as_millis() as u64;
-    let read = read::foretold(shared, intake, flight, now).since(now).as_millis() as u64;
+    let ms = now.since(joined_at).as_millis() as u64;
+    let read =
+        prefill::predicted_ready_at(shared, intake, state, now).since(now).as_millis() as u64;
     let left = intake.goal_at.since(now).as_millis() as u64;
     let waiting = shared.engines.borrow().waiting();
     let Basis { config, roster, age } = shared.basis();
@@ -301,11 +312,11 @@
     spec: &Engine,
     need: &Need,
     server: &Server,
-    joined: Timestamp,
+    joined_at: Timestamp,
 ) {
-    let free = percent(shared, intake, spec);
+    let free = free_percent(shared, intake, spec);
     let work = shared.engine_load(&server.id);
-    let ms = shared.now().since(joined).as_millis() as u64;
+    let ms = shared.now().since(joined_at).as_millis() as u64;
     let Basis { config, roster, age } = shared.basis();
     tracing::info!(
         id = intake.id(), server = %server.id, prompt = intake.caller.prompt,
--- /dev/null
+++ b/crates/daemon/src/gateway/stream/incoming.rs
@@ -0,0 +1,214 @@
+//! Reservations at this zone's engines for requests of other zones, made when their gateways ask
+//! (`overflow`).
+
+use std::collections::HashMap;
+use std::rc::Rc;
+use std::time::Duration;
+
+use ebonyloft_core::time::Timestamp;
+use ebonyloft_router::catalog::{Server, ServerId};
+use ebonyloft_router::engines::{Need, View};
+use ebonyloft_router::forecast::Profile;
+use ebonyloft_router::growth::Growth;
+use futures_channel::oneshot;
+use futures_util::future::{Either, select};
+use http_body_util::BodyExt;
+use hyper::body::Incoming;
+use hyper::{Method, Request, Response, StatusCode};
+
+use super::overflow::{Grant, ReservationRequest};
+use super::{admission, prefill};
+use crate::gateway::shared::{Basis, Shared};
+use crate::http;
+
+/// Interval at which the expected progress of such a request's answer is updated.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(400);
+/// How many times its expected length an answer may take before it counts as ended: if the release
+/// is lost, the memory must not be counted for long.
+const LENGTH_FACTOR_MAX: f64 = 3.0;
+/// Added to that, for reading the prompt and for slow engines.
+const EXTRA_TIME: Duration = Duration::from_secs(2);
+
+/// Reservations here that serve requests of other zones.
+#[derive(Default)]
+pub struct IncomingReservations {
+    next: u64,
+    open: HashMap<u64, oneshot::Sender<()>>,
+}
+
+impl IncomingReservations {
+    fn insert(&mut self) -> (u64, oneshot::Receiver<()>) {
+        self.next += 1;
+        let (done_sender, done) = oneshot::channel();
+        self.open.insert(self.next, done_sender);
+        (self.next, done)
+    }
+}
+
+/// Serves requests of gateways of other zones: POST makes a reservation, DELETE ends it.
+pub async fn serve(shared: Rc<Shared>, req: Request<Incoming>) -> Response<http::Body> {
+    let (parts, body) = req.into_parts();
+    if parts.method == Method::DELETE {
+        let id = parts.uri.path().rsplit('/').next().and_then(|id| id.parse::<u64>().ok());
+        // Dropping the sender ends the task that tracks the reservation.
+        let known = id.and_then(|id| shared.incoming.borrow_mut().open.remove(&id));
+        let status = if known.is_some() { StatusCode::OK } else { StatusCode::NOT_FOUND };
+        return http::response(status, "text/plain", http::full(""));
+    }
+    let refused = |status| http::response(status, "text/plain", http::full(""));
+    let Ok(body) = body.collect().await else {
+        return refused(StatusCode::BAD_REQUEST);
+    };
+    let Ok(request) = ciborium::from_reader::<ReservationRequest, _>(&body.to_bytes()[..]) else {
+        return refused(StatusCode::BAD_REQUEST);
+    };
+    // A task of its own releases what it counted even if the other gateway disconnects.
+    let (grant_sender, grant_receiver) = oneshot::channel();
+    compio::runtime::spawn(make_grant(shared, request, grant_sender)).detach();
+    let Ok(grant) = grant_receiver.await else {
+        return refused(StatusCode::SERVICE_UNAVAILABLE);
+    };
+    let mut bytes = Vec::new();
+    match ciborium::into_writer(&grant, &mut bytes) {
+        Ok(()) => http::response(StatusCode::OK, "application/cbor", http::full(bytes)),
+        Err(e) => {
+            tracing::error!(error = %e, "can't encode grant");
+            refused(StatusCode::INTERNAL_SERVER_ERROR)
+        }
+    }
+}
+
+async fn make_grant(
+    shared: Rc<Shared>,
+    request: ReservationRequest,
+    grant_sender: oneshot::Sender<Grant>,
+) {
+    let now = shared.now();
+    let spec = shared.config().and_then(|c| c.service(&request.service)?.engine.clone());
+    let Some(spec) = spec.filter(|_| !shared.is_stopping()) else {
+        return;
+    };
+    let memory = request.growth.profile(request.prompt, request.made);
+    let first_by = now.after(Duration::from_millis(request.first));
+    // The request waits at the gateway that asks, not here, so both deadlines are the same.
+    let (gives, begun) = (request.gives, request.begun);
+    let need = Need { memory, first_by, ends_at: first_by, gives, begun };
+    let prefill_engine = prefill::fastest_engine(&shared, &request.service, request.prompt, now);
+    let read_at = match &prefill_engine {
+        Some((_, at)) => *at,
+        None => prefill::local_ready_at(&shared, &request.service, request.prompt, now),
+    };
+    let view = View { engine: &spec, read_at, entries: shared.gateways_in_scope() };
+    let Some(server) = choose_engine(&shared, &request.service, &need, &view) else {
+        return log_result(&shared, &request, &view, None);
+    };
+    let Some(hold) = admission::reserve(&shared, &spec, &server, memory).await else {
+        return log_result(&shared, &request, &view, None);
+    };
+    log_result(&shared, &request, &view, Some(&server.id));
+    if let Some((prefill_engine, _)) = &prefill_engine {
+        shared.engines.borrow_mut().reading(&prefill_engine.id, request.prompt);
+    }
+    shared.request_report();
+    let (id, done) = shared.incoming.borrow_mut().insert();
+    let mut reservation = IncomingReservation {
+        server: server.id.clone(),
+        memory,
+        growth: request.growth,
+        prefilling: None,
+    };
+    reservation.prefilling = prefill_engine.as_ref().map(|(s, _)| (s.id.clone(), request.prompt));
+    let prefill_engine =
+        prefill_engine.map(|(s, at)| (s, at.since(shared.now()).as_millis() as u64));
+    if grant_sender.send(Grant { id, server, hold, reader: prefill_engine }).is_ok() {
+        reservation.track(&shared, &request, read_at, done).await;
+    }
+    shared.incoming.borrow_mut().open.remove(&id);
+    reservation.close(&shared);
+}
+
+fn log_result(
+    shared: &Shared,
+    request: &ReservationRequest,
+    view: &View<'_>,
+    server: Option<&ServerId>,
+) {
+    let free = (admission::free_fraction(shared, &request.service, view.engine) * 100.0) as u64;
+    let waiting = shared.engines.borrow().waiting();
+    let read = view.read_at.since(shared.now()).as_millis() as u64;
+    let Basis { config, roster, age } = shared.basis();
+    let server = server.map(ToString::to_string);
+    let message = if server.is_some() {
+        "reservation granted to another zone"
+    } else {
+        "reservation refused to another zone"
+    };
+    let ReservationRequest { id, gives, .. } = request;
+    tracing::info!(id, server, gives, free, waiting, read, config, roster, age, "{message}");
+}
+
+fn choose_engine(shared: &Shared, service: &str, need: &Need, view: &View<'_>) -> Option<Server> {
+    let (now, roster, shares) = (shared.now(), shared.roster.borrow(), shared.shares.borrow());
+    let servers = admission::decode_engines(shared, &roster, service);
+    let work = |id: &ServerId| shares.work(now, id);
+    let engines = shared.engines.borrow();
+    let id = engines.lend(now, need, view, servers, work, || shared.draw())?;
+    roster.get(&id).cloned()
+}
+
+/// A request of another zone at an engine of this one.
+struct IncomingReservation {
+    server: ServerId,
+    memory: Profile,
+    growth: Growth,
+    /// The prefill engine and the prompt's tokens, until the prompt should have been read.
+    prefilling: Option<(ServerId, u64)>,
+}
+
+impl IncomingReservation {
+    /// Updates the memory forecast by the expected progress of the answer until it ends.
+    async fn track(
+        &mut self,
+        shared: &Shared,
+        request: &ReservationRequest,
+        read_at: Timestamp,
+        done: oneshot::Receiver<()>,
+    ) {
+        let token = shared.service_estimates(&request.service).shape.token();
+        let length = token.mul_f64(self.growth.length() * LENGTH_FACTOR_MAX);
+        let until = read_at.after(length).after(EXTRA_TIME);
+        let mut done = done;
+        while shared.now() < until {
+            let timer = std::pin::pin!(compio::time::sleep(UPDATE_INTERVAL));
+            if let Either::Left(_) = select(&mut done, timer).await {
+                return;
+            }
+            let now = shared.now();
+            if now < read_at {
+                continue;
+            }
+            self.end_prefill(shared);
+            let generated = now.since(read_at).as_secs_f64() / token.as_secs_f64().max(1e-6);
+            let after = self.growth.profile(request.prompt, request.made + generated as u64);
+            shared.engines.borrow_mut().grown(&self.server, self.memory, after);
+            self.memory = after;
+        }
+        tracing::info!(
+            server = %self.server,
+            "reservation of another zone timed out: its release was not received"
+        );
+    }
+
+    fn end_prefill(&mut self, shared: &Shared) {
+        if let Some((id, prompt)) = self.prefilling.take() {
+            shared.engines.borrow_mut().read(&id, prompt);
+        }
+    }
+
+    fn close(mut self, shared: &Shared) {
+        self.end_prefill(shared);
+        shared.engines.borrow_mut().freed(shared.now(), &self.server, self.memory, true);
+        shared.request_report();
+        shared.wake_all();
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/gateway/stream/prefill.rs
@@ -0,0 +1,196 @@
+//! Prefill: a prompt is read by an engine that does nothing else.
+
+use std::time::Duration;
+
+use ebonyloft_core::time::Timestamp;
+use ebonyloft_platform::{engine, headers};
+use ebonyloft_router::budget::Next;
+use ebonyloft_router::catalog::{Server, Stage};
+use ebonyloft_router::outcome::Fate;
+use ebonyloft_router::prefill::{self, Choice};
+use ebonyloft_router::share::Work;
+
+use super::state::{PromptHandle, StreamState};
+use crate::gateway::call;
+use crate::gateway::intake::Intake;
+use crate::gateway::limits;
+use crate::gateway::quarantine::{self, Run, Sent};
+use crate::gateway::retries;
+use crate::gateway::said;
+use crate::gateway::send::{self, Expect};
+use crate::gateway::shared::{Basis, Shared};
+
+/// How much longer than predicted a prefill may take before the decode engine reads the prompt
+/// itself.
+const PREFILL_SLACK: Duration = Duration::from_millis(600);
+/// How long before its expiry a handle is no longer used: the time on the network, and the wait
+/// for memory.
+const HANDLE_MARGIN: Duration = Duration::from_millis(60);
+/// Prefill engines tried for one prompt; each attempt that is not accepted counts against the
+/// retry budget.
+const ENGINES_MAX: usize = 2;
+/// How much longer a decode engine takes to read a prompt: it reads at half the speed.
+const LOCAL_SLOWDOWN: u32 = 2;
+
+/// When the prompt would be read if it were sent to a prefill engine now.
+pub fn predicted_ready_at(
+    shared: &Shared,
+    intake: &Intake,
+    state: &StreamState,
+    now: Timestamp,
+) -> Timestamp {
+    if state.prompt_handle.is_some() {
+        return now;
+    }
+    // All prefill engines are considered: whether any can be in time does not depend on the one
+    // chosen.
+    match fastest_engine(shared, &intake.service, intake.caller.prompt, now) {
+        Some((_, at)) => at,
+        None => local_ready_at(shared, &intake.service, intake.caller.prompt, now),
+    }
+}
+
+/// The prefill engine that would finish a prompt first, and when.
+pub fn fastest_engine(
+    shared: &Shared,
+    service: &str,
+    prompt: u64,
+    now: Timestamp,
+) -> Option<(Server, Timestamp)> {
+    pick(shared, service, prompt, &shared.node().zone, now, 1)
+}
+
+/// When a decode engine would have read a prompt.
+pub fn local_ready_at(shared: &Shared, service: &str, prompt: u64, now: Timestamp) -> Timestamp {
+    let duration = shared.service_estimates(service).reading.time(Work::default(), prompt);
+    now.after(duration * LOCAL_SLOWDOWN)
+}
+
+/// Has the prompt read by a prefill engine. Without one, the decode engine reads it.
+pub async fn run(shared: &Shared, intake: &Intake, state: &mut StreamState) {
+    let node = shared.node();
+    let remote = state.reservation.as_ref().and_then(|reservation| reservation.remote.as_ref());
+    let remote_engine = remote.map(|remote| remote.prefill_engine.clone());
+    for n in 0..ENGINES_MAX {
+        let now = shared.now();
+        let zone = state.reservation.as_ref().map_or_else(|| &node.zone, |r| &r.server.zone);
+        let picked = match &remote_engine {
+            // Of the prefill engines of another zone only the one named in the grant is known.
+            Some(named) => named.clone().filter(|_| n == 0),
+            None => {
+                let prompt = intake.caller.prompt;
+                pick(shared, &intake.service, prompt, zone, now, shared.gateways_in_scope())
+            }
+        };
+        let Some((server, ready_at)) = picked else {
+            return;
+        };
+        if !limits::take(shared, &server.id, 1).await {
+            continue;
+        }
+        if !retries::afford(shared, intake, Next::Prompt) {
+            return;
+        }
+        if prefill_at(shared, intake, state, &server, ready_at, remote_engine.is_some()).await {
+            return;
+        }
+    }
+}
+
+/// Picks a prefill engine for an answer written in `zone`, as one of `entries` gateways that do
+/// so; returns it and when it would have read the prompt.
+fn pick(
+    shared: &Shared,
+    service: &str,
+    prompt: u64,
+    zone: &str,
+    now: Timestamp,
+    entries: usize,
+) -> Option<(Server, Timestamp)> {
+    let (roster, engines) = (shared.roster.borrow(), shared.engines.borrow());
+    let own = shared.zone();
+    let prefill_engines = roster
+        .ready(service)
+        .filter(|s| s.stage == Some(Stage::Prefill) && !engines.faulty(now, &s.id))
+        .filter(|s| own.as_ref().is_none_or(|own| s.zone == *own))
+        .filter(|s| !said::rests(shared, &s.id));
+    let (shares, paces) = (shared.shares.borrow(), shared.paces.borrow());
+    let work = |id: &_| engines.own(id).plus(shares.work(now, id));
+    let learned = shared.service_estimates(service);
+    let choice = Choice { paces: &paces, reading: &learned.reading, prompt, zone, entries };
+    let picked = prefill::pick(now, prefill_engines, work, &choice, || shared.draw());
+    picked.map(|(s, at)| (s.clone(), at))
+}
+
+/// How long the engine keeps a prefilled prompt.
+fn handle_lifetime(intake: &Intake) -> Duration {
+    let service = intake.config.service(&intake.service);
+    service.and_then(|s| s.engine.as_ref()).map_or(Duration::ZERO, |e| e.handle_life)
+}
+
+async fn prefill_at(
+    shared: &Shared,
+    intake: &Intake,
+    state: &mut StreamState,
+    server: &Server,
+    ready_at: Timestamp,
+    remote: bool,
+) -> bool {
+    let now = shared.now();
+    let prompt = intake.caller.prompt;
+    let work = shared.engine_load(&server.id);
+    let base_time = shared.service_estimates(&intake.service).reading.time(work, prompt);
+    shared.engines.borrow_mut().reading(&server.id, prompt);
+    shared.request_report();
+    state.prefilling = Some((server.id.clone(), prompt));
+    let mut req = intake.request(now, &server.id);
+    headers::set_prefill(req.headers_mut());
+    let limit = ready_at.since(now) + PREFILL_SLACK;
+    let Basis { config, roster, age } = shared.basis();
+    state.open_attempt = Some((server.clone(), now));
+    let (fate, answer) = send::whole(shared, intake, server, req, limit, Expect::Handle).await;
+    state.open_attempt = None;
+    let done = shared.now();
+    state.prefilling = None;
+    let mut engines = shared.engines.borrow_mut();
+    engines.read(&server.id, prompt);
+    let ms = done.since(now).as_millis() as u64;
+    let predicted_ms = ready_at.since(now).as_millis() as u64;
+    let rate = shared.service_estimates(&intake.service).reading.rate() as u64;
+    tracing::info!(
+        id = intake.id(), server = %server.id, ?fate, prompt, queue = work.unread, ms, foretold = predicted_ms,
+        rate, config, roster, age, "prefill ended"
+    );
+    shared.metrics.time("gateway.read_ms", ms);
+    let handle = answer.as_ref().and_then(|a| engine::read_prefilled(&a.body));
+    if let Some(handle) = handle {
+        // The queue of another zone's prefill engine is not known here, so its time is no measure
+        // of speed.
+        if !remote {
+            shared.paces.borrow_mut().observe(&server.id, done.since(now), base_time);
+            shared.service_estimates(&intake.service).reading.observe(
+                work,
+                prompt,
+                done.since(now),
+            );
+        }
+        let (id, addr) = (server.id.clone(), server.addr);
+        let until = done.after(handle_lifetime(intake)).before(HANDLE_MARGIN);
+        state.prompt_handle = Some(PromptHandle { id, addr, handle, until });
+        retries::accepted(shared, intake);
+        return true;
+    }
+    // A back-off is no fault of the engine.
+    if !said::rests(shared, &server.id) {
+        engines.fault(done, &server.id);
+    }
+    drop(engines);
+    if fate == Fate::Lost {
+        let sent = Sent { server, run: Run::Begun, at: now };
+        quarantine::note_loss(shared, intake, sent);
+    }
+    if fate == Fate::Moved {
+        call::gone(shared, &server.id);
+    }
+    false
+}
--- a/crates/daemon/src/gateway/stream/outlet.rs
+++ b/crates/daemon/src/gateway/stream/response.rs
@@ -1,4 +1,5 @@
-//! The caller's end of a stream: nothing, then a head, then events, then an end that tells the truth.
+//! The caller's side of a stream. The response starts with the head, continues with events, and
+//! ends regularly only if the answer is complete.
 
 use std::time::Duration;
 
@@ -13,37 +14,38 @@
 use crate::gateway::answer::{self, Body, Broken, Cause};
 use crate::gateway::send::Whole;
 
-/// Runs of events that wait for a caller who reads slowly; then the backend server waits too.
-const WAITING_MAX: usize = 8;
+/// Largest number of event batches buffered for a slow caller; beyond that the backend server is
+/// slowed down.
+const BUFFERED_BATCHES_MAX: usize = 8;
 
 type Sender = mpsc::Sender<Result<Frame<Bytes>, Broken>>;
 
-/// Where a stream's answer goes.
-pub struct Outlet {
+/// The response to a streaming request.
+pub struct ResponseStream {
     reply: Option<oneshot::Sender<Response<Body>>>,
     events: Option<Sender>,
-    passed: u64,
+    batches: u64,
 }
 
-impl Outlet {
-    /// Nothing was said yet.
+impl ResponseStream {
+    /// A response of which nothing was sent yet.
     pub fn new(reply: oneshot::Sender<Response<Body>>) -> Self {
-        Outlet { reply: Some(reply), events: None, passed: 0 }
+        ResponseStream { reply: Some(reply), events: None, batches: 0 }
     }
 
-    /// Has the caller the head of the answer?
-    pub fn begun(&self) -> bool {
+    /// True if the head was sent.
+    pub fn has_begun(&self) -> bool {
         self.reply.is_none()
     }
 
-    /// Runs of events passed on.
-    pub fn events(&self) -> u64 {
-        self.passed
+    /// Number of event batches sent.
+    pub fn batches(&self) -> u64 {
+        self.batches
     }
 
     /// Sends the head.
-    pub fn begin(&mut self, status: StatusCode, headers: HeaderMap) {
-        let (sender, receiver) = mpsc::channel(WAITING_MAX);
+    pub fn send_head(&mut self, status: StatusCode, headers: HeaderMap) {
+        let (sender, receiver) = mpsc::channel(BUFFERED_BATCHES_MAX);
         let mut response = Response::new(StreamBody::new(receiver).boxed_unsync());
         *response.status_mut() = status;
         *response.headers_mut() = headers;
@@ -51,44 +53,46 @@
         self.send(response);
     }
 
-    /// Passes whole events on.
-    pub async fn pass(&mut self, events: Vec<u8>) {
-        self.passed += 1;
+    /// Sends a batch of complete events.
+    pub async fn send_events(&mut self, events: Vec<u8>) {
+        self.batches += 1;
         if let Some(sender) = &mut self.events {
-            // A caller who is gone ends the whole task by another way.
+            // An error means that the caller disconnected, which ends the whole task by other
+            // means.
             let _ = sender.send(Ok(Frame::data(Bytes::from(events)))).await;
         }
     }
 
-    /// The stream is whole.
+    /// Ends the response regularly.
     pub fn finish(&mut self) {
         self.events = None;
     }
 
-    /// Passes on a backend server's failure, or breaks off what was begun.
-    pub fn fail(self, answer: Whole) {
-        if self.begun() {
-            return self.break_off();
+    /// Sends an error response of a backend server, or aborts a response that has begun.
+    pub fn send_failure(self, answer: Whole) {
+        if self.has_begun() {
+            return self.abort();
         }
         let Whole { status, headers, body, .. } = answer;
         let mut this = self;
         this.send(answer::whole(status, headers, body));
     }
 
-    /// Says why there is no answer, or breaks off what was begun.
-    pub fn refuse(self, cause: Cause, verdict: Verdict, retry: Option<Duration>) {
-        if self.begun() {
-            return self.break_off();
+    /// Sends a refusal, or aborts a response that has begun.
+    pub fn send_refusal(self, cause: Cause, verdict: Verdict, retry: Option<Duration>) {
+        if self.has_begun() {
+            return self.abort();
         }
         let mut this = self;
         this.send(answer::refusal(cause, verdict, retry));
     }
 
-    fn break_off(mut self) {
+    fn abort(mut self) {
         if let Some(mut sender) = self.events.take()
             && sender.try_send(Err(Broken)).is_err()
         {
-            // The queue is full: closing it without its end is left to the body's reader.
+            // The channel is full: the task waits until the body's reader has made room for the
+            // error.
             compio::runtime::spawn(async move {
                 let _ = sender.send(Err(Broken)).await;
             })
@@ -98,7 +102,7 @@
 
     fn send(&mut self, response: Response<Body>) {
         if let Some(reply) = self.reply.take() {
-            // The caller may have gone in this very moment.
+            // An error means that the caller disconnected just now.
             let _ = reply.send(response);
         }
     }
--- /dev/null
+++ b/crates/daemon/src/gateway/stream/state.rs
@@ -0,0 +1,191 @@
+//! What a stream holds at backend servers, so that all of it is released at the end.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use bytes::Bytes;
+use ebonyloft_core::time::Timestamp;
+use ebonyloft_platform::{engine, headers};
+use ebonyloft_router::catalog::{Server, ServerId};
+use ebonyloft_router::engines::Ticket;
+use ebonyloft_router::forecast::Profile;
+use ebonyloft_router::growth::Growth;
+use ebonyloft_router::outcome::Progress;
+use hyper::{HeaderMap, Request};
+
+use super::overflow::RemoteReservation;
+use crate::gateway::quarantine::{EARLY, Run};
+use crate::gateway::said;
+use crate::gateway::shared::Shared;
+
+/// Timeout of releasing a reservation or a prompt handle; both also expire by themselves.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// Memory reserved at a decode engine.
+pub struct Reservation {
+    /// The engine.
+    pub server: Server,
+    /// Id of the reservation at the engine; none if there is none or it was used.
+    pub hold_id: Option<String>,
+    /// Memory counted for the request.
+    pub memory: Profile,
+    /// Expected growth of the answer.
+    pub growth: Growth,
+    /// Set if a gateway of another zone made the reservation.
+    pub remote: Option<RemoteReservation>,
+}
+
+/// A prompt read by a prefill engine.
+pub struct PromptHandle {
+    /// The prefill engine.
+    pub id: ServerId,
+    /// Its address.
+    pub addr: SocketAddr,
+    /// Id of the prompt's memory at the engine.
+    pub handle: String,
+    /// Until when the engine keeps the memory for certain.
+    pub until: Timestamp,
+}
+
+/// State of one stream.
+pub struct StreamState {
+    /// Attempts so far.
+    pub progress: Progress,
+    /// Its ticket in the admission queue.
+    pub ticket: Option<Ticket>,
+    /// The backend server that the request or its prompt was sent to and that has not finished,
+    /// and when it was sent.
+    pub open_attempt: Option<(Server, Timestamp)>,
+    /// Its reservation.
+    pub reservation: Option<Reservation>,
+    /// Zones that were asked for a reservation.
+    pub zones_asked: Vec<String>,
+    /// The prefill engine that is reading the prompt, and the prompt's tokens.
+    pub prefilling: Option<(ServerId, u64)>,
+    /// The prompt read by a prefill engine.
+    pub prompt_handle: Option<PromptHandle>,
+    /// Tokens of the answer generated so far.
+    pub generated: u64,
+    /// When the first event of the current attempt came.
+    pub first_event_at: Option<Timestamp>,
+    /// Longest gap before an event, including the gap between the response head and the first
+    /// event.
+    pub longest_gap: Duration,
+}
+
+impl StreamState {
+    /// State of a stream that holds nothing yet.
+    pub fn new(progress: Progress) -> Self {
+        StreamState {
+            progress,
+            ticket: None,
+            open_attempt: None,
+            reservation: None,
+            zones_asked: Vec::new(),
+            prefilling: None,
+            prompt_handle: None,
+            generated: 0,
+            first_event_at: None,
+            longest_gap: Duration::ZERO,
+        }
+    }
+
+    /// How far the current attempt has come.
+    pub fn run_phase(&self, now: Timestamp) -> Run {
+        match self.first_event_at {
+            Some(at) if now >= at.after(EARLY) => Run::Advanced,
+            _ => Run::Begun,
+        }
+    }
+
+    /// Sets the headers that name the reservation and the prompt handle.
+    pub fn set_headers(&self, headers: &mut HeaderMap) {
+        if let Some(hold_id) = self.reservation.as_ref().and_then(|r| r.hold_id.as_deref()) {
+            headers::set_hold(headers, hold_id);
+        }
+        if let Some(prompt_handle) = &self.prompt_handle {
+            headers::set_source(headers, prompt_handle.addr, &prompt_handle.handle);
+        }
+    }
+
+    /// The engine accepted the request, which uses up the reservation and the handle.
+    pub fn mark_used(&mut self) {
+        if let Some(reservation) = &mut self.reservation {
+            reservation.hold_id = None;
+        }
+        self.prompt_handle = None;
+    }
+
+    /// Records how many tokens the answer has.
+    pub fn record_generated(&mut self, shared: &Shared, prompt: u64, generated: u64) {
+        self.generated = generated;
+        if let Some(reservation) = &mut self.reservation {
+            let after = reservation.growth.profile(prompt, generated);
+            shared.engines.borrow_mut().grown(&reservation.server.id, reservation.memory, after);
+            reservation.memory = after;
+        }
+    }
+
+    /// Releases everything; `complete` if the answer reached its end.
+    pub fn release(&mut self, shared: &Shared, now: Timestamp, complete: bool) {
+        if let Some(ticket) = self.ticket.take() {
+            shared.engines.borrow_mut().leave(ticket);
+        }
+        if let Some((id, tokens)) = self.prefilling.take() {
+            shared.engines.borrow_mut().read(&id, tokens);
+        }
+        self.drop_prompt_handle(shared);
+        self.free_reservation(shared, now, complete);
+        shared.wake_all();
+    }
+
+    /// Releases the prompt handle.
+    pub fn drop_prompt_handle(&mut self, shared: &Shared) {
+        if let Some(prompt_handle) = self.prompt_handle.take() {
+            let req = engine::drop_handle(&prompt_handle.id, &prompt_handle.handle);
+            send_release(shared, &prompt_handle.id, prompt_handle.addr, req);
+        }
+    }
+
+    /// Releases the reservation and keeps the prompt handle.
+    pub fn drop_reservation(&mut self, shared: &Shared, now: Timestamp) {
+        self.free_reservation(shared, now, false);
+        shared.wake_all();
+    }
+
+    fn free_reservation(&mut self, shared: &Shared, now: Timestamp, complete: bool) {
+        let Some(reservation) = self.reservation.take() else {
+            return;
+        };
+        let Reservation { server, hold_id, memory, remote, .. } = reservation;
+        if let Some(remote) = remote {
+            remote.close(shared);
+        }
+        if let Some(hold_id) = hold_id {
+            send_release(shared, &server.id, server.addr, engine::drop_hold(&server.id, &hold_id));
+        }
+        shared.engines.borrow_mut().freed(now, &server.id, memory, complete);
+        shared.request_report();
+    }
+
+    /// Ends the request and releases everything.
+    pub fn close(mut self, shared: &Shared, complete: bool) {
+        self.release(shared, shared.now(), complete);
+    }
+}
+
+fn send_release(shared: &Shared, id: &ServerId, addr: SocketAddr, req: Request<Bytes>) {
+    if said::rests(shared, id) || shared.limits.borrow().of(id).is_some() {
+        // The engine asked for a back-off or has a request limit, and the memory is freed when it
+        // expires.
+        return;
+    }
+    let pool = shared.pool.clone();
+    compio::runtime::spawn(async move {
+        if let Err(e) = pool.call(addr, req, RELEASE_TIMEOUT).await {
+            // The memory is freed when it expires, within two seconds.
+            tracing::debug!(%addr, error = %e, "can't release memory at engine");
+        }
+    })
+    .detach();
+}
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -283,7 +283,10 @@
         Some(Ok(server)) => Entry::Server(server),
         Some(Err(e)) => {
             let revision = item.revision;
-            tracing::warn!(server = name, revision, error = %e, "can't decode registration of a backend server");
+            tracing::warn!(
+                server = name, revision, error = %e,
+                "can't decode registration of a backend server"
+            );
             Entry::Wrong
         }
     };
--- a/crates/daemon/src/gateway/watch/roster_watch.rs
+++ b/crates/daemon/src/gateway/watch/roster_watch.rs
@@ -54,7 +54,10 @@
                 Duration::ZERO
             }
             Err(e) => {
-                tracing::info!(error = %e, "can't follow the server registry while another answer is read");
+                tracing::info!(
+                    error = %e,
+                    "can't follow the server registry while another answer is read"
+                );
                 BACKOFF_MAX
             }
         };
