--- a/crates/daemon/src/gateway/belief.rs
+++ b/crates/daemon/src/gateway/belief.rs
@@ -60,13 +60,13 @@
     }
 }
 
-/// Compares a peer's versions with the own ones and fetches what is newer there. Lists are fetched
-/// only if this gateway does not get them from the store.
+/// Compares a peer's versions with this gateway's and fetches what is newer there. Lists are
+/// fetched only if this gateway does not get them from the store.
 pub fn fetch_newer(shared: &Rc<Shared>, from: SocketAddr, theirs: Versions) {
     let own = versions(shared);
-    // A zone leader gets its lists from the store. It still fetches them from a peer that has been
-    // ahead for a while: the store may be silent to this gateway alone, which it notices only when
-    // a watch times out.
+    // The first leader of a zone gets its lists from the store. It still fetches them from a
+    // peer that has been ahead for a while: the store may be silent to this gateway alone, which
+    // it notices only when a watch times out.
     let uses_store = shared.role.borrow().leads() && !shared.fresh.borrow().is_away();
     let behind = shared.fetches.borrow_mut().is_behind(shared.now(), own, theirs);
     if own.lacks(Part::Lists, theirs) && (!uses_store || behind) {
--- a/crates/daemon/src/gateway/notes.rs
+++ b/crates/daemon/src/gateway/notes.rs
@@ -86,12 +86,12 @@
 /// Checksum of the gossip state; zero if the state is empty.
 pub fn checksum(shared: &Shared) -> u64 {
     let roster = shared.roster.borrow();
-    let said = roster.said().fold(0, |sum, id| sum ^ id.number());
-    shared.quarantine.borrow().sum() ^ said ^ shared.limits.borrow().sum()
+    let leaving = roster.said().fold(0, |sum, id| sum ^ id.number());
+    shared.quarantine.borrow().sum() ^ leaving ^ shared.limits.borrow().sum()
 }
 
-/// Compares a peer's checksum with the own one, and starts an exchange if they have differed for
-/// long.
+/// Compares a peer's checksum with this gateway's, and starts an exchange if they have differed
+/// for long.
 pub fn compare_checksum(shared: &Rc<Shared>, peer: &str, from: SocketAddr, peer_checksum: u64) {
     let (now, same) = (shared.now(), peer_checksum == checksum(shared));
     if shared.drift.borrow_mut().hear(now, peer, same) {
@@ -134,7 +134,7 @@
     }
 }
 
-/// Answers a peer's exchange: applies its state and returns the own one.
+/// Answers a peer's exchange: applies its state and returns this gateway's.
 pub async fn handle_exchange(shared: Rc<Shared>, req: Request<Incoming>) -> Response<http::Body> {
     let refuse = |status| http::response(status, "text/plain", http::full(""));
     let Some(body) = http::read_body(req.into_body(), BODY_MAX).await else {
--- a/crates/daemon/src/gateway/orders.rs
+++ b/crates/daemon/src/gateway/orders.rs
@@ -122,7 +122,9 @@
                     return tracing::info!(fence = leadership.fence, "leadership lease expired");
                 }
                 Err(e) => {
-                    tracing::info!(fence = leadership.fence, error = %e, "can't renew leadership lease")
+                    tracing::info!(
+                        fence = leadership.fence, error = %e, "can't renew leadership lease"
+                    )
                 }
             }
         }
--- a/crates/daemon/src/gateway/shared.rs
+++ b/crates/daemon/src/gateway/shared.rs
@@ -112,11 +112,11 @@
     pub learned: RefCell<Learned>,
     /// Load reports of peers.
     pub shares: RefCell<Shares>,
-    /// The scope, with the edition of the gateway list and the fleet memory that it was computed
-    /// from.
+    /// The scope, with the edition of the gateway list and the engine memory that it was
+    /// computed from.
     scope: Cell<((u64, u64), Scope)>,
     /// Memory of all engines, in tokens.
-    pub fleet_memory: RefCell<Memory>,
+    pub engine_memory: RefCell<Memory>,
     /// Summaries of other availability zones.
     pub digests: RefCell<Digests>,
     /// Reservations here that serve requests of other zones.
@@ -125,7 +125,7 @@
     budgets: RefCell<HashMap<String, Budget>>,
     /// Registered gateways.
     pub fleet: RefCell<Fleet>,
-    /// Whether this gateway follows the store, and whether as a zone leader.
+    /// Whether this gateway follows the store as a zone leader, and whether as the first one.
     pub role: RefCell<Role>,
     /// Fetches of state from peers that are under way.
     pub fetches: RefCell<Pulls>,
@@ -157,9 +157,9 @@
     pub open: Cell<usize>,
     /// Counters and histograms.
     pub metrics: Metrics,
-    born_at: Timestamp,
+    started_at: Timestamp,
     rng: RefCell<ChaCha8Rng>,
-    waiters: Waiters,
+    capacity_waiters: Waiters,
     report_requested: Cell<bool>,
     reporter: RefCell<Option<oneshot::Sender<()>>>,
     outbox: mpsc::UnboundedSender<Message>,
@@ -206,7 +206,7 @@
             learned: RefCell::default(),
             shares: RefCell::default(),
             scope: Cell::new(((0, 0), Scope::All)),
-            fleet_memory: RefCell::default(),
+            engine_memory: RefCell::default(),
             digests: RefCell::default(),
             incoming: RefCell::default(),
             budgets: RefCell::default(),
@@ -227,9 +227,9 @@
             stopping: Cell::default(),
             open: Cell::new(0),
             metrics,
-            born_at: clock.now(),
+            started_at: clock.now(),
             rng: RefCell::new(rng),
-            waiters: Waiters::default(),
+            capacity_waiters: Waiters::default(),
             report_requested: Cell::default(),
             reporter: RefCell::default(),
             outbox,
@@ -301,9 +301,9 @@
         live.max(self.fleet.borrow().all().len())
     }
 
-    /// Whether engines are shared with all gateways or with those of the own zone.
+    /// Whether engines are shared with all gateways or with those of this zone only.
     pub fn scope(&self) -> Scope {
-        let (fleet, tokens) = (self.fleet.borrow(), self.fleet_memory.borrow().tokens());
+        let (fleet, tokens) = (self.fleet.borrow(), self.engine_memory.borrow().tokens());
         let key = (fleet.edition(), tokens);
         let (computed_from, scope) = self.scope.get();
         if computed_from == key {
@@ -340,11 +340,11 @@
             return;
         };
         let roster = self.roster.borrow();
-        let tokens = config.services.iter().filter_map(|service| {
+        let memory = config.services.iter().filter_map(|service| {
             let tokens = service.engine.as_ref()?.tokens;
             Some(tokens * roster.ready(&service.name).count() as u64)
         });
-        self.fleet_memory.borrow_mut().observe(self.now(), tokens.sum());
+        self.engine_memory.borrow_mut().observe(self.now(), memory.sum());
     }
 
     /// Decides anew whether this gateway follows the store. A gateway that does not follow the
@@ -384,7 +384,7 @@
 
     /// Retry budget of a service.
     pub fn budget(&self, service: &str) -> RefMut<'_, Budget> {
-        let new = || Budget::new(self.born_at);
+        let new = || Budget::new(self.started_at);
         RefMut::map(self.budgets.borrow_mut(), |all| {
             all.entry(service.to_owned()).or_insert_with(new)
         })
@@ -447,12 +447,12 @@
 
     /// Resolves when capacity may have become free.
     pub fn capacity_freed(&self) -> oneshot::Receiver<()> {
-        self.waiters.wake()
+        self.capacity_waiters.wake()
     }
 
     /// Wakes all requests that wait for capacity.
     pub fn wake_all(&self) {
-        self.waiters.wake_all();
+        self.capacity_waiters.wake_all();
     }
 
     /// Admission queue of a plain service.
--- a/crates/daemon/src/gateway/store.rs
+++ b/crates/daemon/src/gateway/store.rs
@@ -25,7 +25,7 @@
 /// A watch whose answer has started to arrive.
 pub struct WatchReply {
     /// The answer.
-    pub coming: Coming,
+    pub reply: Coming,
     /// How long the store was asked to hold the watch open.
     pub wait: Duration,
 }
@@ -70,8 +70,8 @@
         Ok(all)
     }
 
-    /// Changes of a prefix after a revision, without waiting for new ones. It is used when the
-    /// store was unreachable: its return is noticed within the time of a call, where a watch that
+    /// Changes of a prefix after a revision, without waiting for new ones. Used while the
+    /// store is unreachable: its return is noticed within the time of a call, where a watch that
     /// began during the outage would only end after some three seconds.
     pub async fn poll_changes(&self, prefix: &str, after: u64) -> Result<Page, StoreError> {
         self.call(store::watch(prefix, after, POLL_WAIT_MS), CALL_WAIT, store::read_watch).await
@@ -87,14 +87,13 @@
     ) -> Result<WatchReply, StoreError> {
         let wait = within.saturating_sub(WATCH_SLACK).max(WATCH_MIN);
         let req = store::watch(prefix, after, wait.as_millis() as u64);
-        let coming =
-            self.pool.ask(self.addr, req, wait + WATCH_SLACK).await.map_err(store_error)?;
-        Ok(WatchReply { coming, wait })
+        let reply = self.pool.ask(self.addr, req, wait + WATCH_SLACK).await.map_err(store_error)?;
+        Ok(WatchReply { reply, wait })
     }
 
     /// Reads the body of a watch's answer.
-    pub async fn read_watch(&self, coming: Coming) -> Result<Page, StoreError> {
-        let (status, body) = self.pool.finish(coming, CALL_WAIT).await.map_err(store_error)?;
+    pub async fn read_watch(&self, reply: Coming) -> Result<Page, StoreError> {
+        let (status, body) = self.pool.finish(reply, CALL_WAIT).await.map_err(store_error)?;
         store::read_watch(status, &body)
     }
 
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -30,9 +30,9 @@
 /// of the shortest time in which a change must be in force, and a leaving server is known within
 /// 0.2 s.
 const BATCH_DELAY: Duration = Duration::from_millis(150);
-/// The same delay for a gateway that is no zone leader. It gets changes from a leader first and
-/// follows the store only in case that the leader is cut from it, when changes arrive that much
-/// later. A quarter of the shortest time in which a change must be in force.
+/// The same delay for a zone leader that is not the first one. It gets changes from the first
+/// leader and follows the store only in case that the first one is cut from it, when changes
+/// arrive that much later. A quarter of the shortest time in which a change must be in force.
 const STANDBY_BATCH_DELAY: Duration = Duration::from_millis(500);
 /// Interval at which a gateway that does not follow the store checks whether it has to.
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(150);
@@ -58,8 +58,8 @@
 pub async fn follow(shared: Rc<Shared>, prefix: &'static str, sink: Box<dyn Sink>) {
     let mut from: Option<u64> = None;
     let mut backoff = BACKOFF_MIN;
-    // The first list may be stale, since the watch from its revision brings it up to date. When a
-    // whole fleet starts at once, current lists would be delayed by the store's call limit.
+    // The first list may be stale, since the watch from its revision brings it up to date. When
+    // all gateways start at once, current lists would be delayed by the store's call limit.
     let mut age = Age::Stale;
     loop {
         if !shared.role.borrow().follows() {
@@ -136,10 +136,10 @@
     let (page, waited) = match must_poll {
         true => (shared.store.poll_changes(prefix, after).await?, Duration::ZERO),
         false => {
-            let WatchReply { coming, wait } =
+            let WatchReply { reply, wait } =
                 shared.store.watch(prefix, after, watch_timeout(shared)).await?;
-            known_at = coming.head_at();
-            let read = shared.store.read_watch(coming);
+            known_at = reply.head_at();
+            let read = shared.store.read_watch(reply);
             (roster_watch::during(shared, Some(after), true, read).await?, wait)
         }
     };
--- a/crates/daemon/src/gateway/watch/roster_watch.rs
+++ b/crates/daemon/src/gateway/watch/roster_watch.rs
@@ -73,9 +73,9 @@
         on_store_answer(shared, servers::PREFIX, known_at);
         return Ok(page.revision);
     };
-    let coming = shared.store.watch(servers::PREFIX, after, watch_timeout(shared)).await?.coming;
-    let known_at = coming.head_at();
-    let page = shared.store.read_watch(coming).await?;
+    let reply = shared.store.watch(servers::PREFIX, after, watch_timeout(shared)).await?.reply;
+    let known_at = reply.head_at();
+    let page = shared.store.read_watch(reply).await?;
     for item in page.items {
         sink.apply(item);
     }
