--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -1,7 +1,7 @@
-//! The gateway: everything between callers and backend servers, on an entry VM.
+//! The gateway, which forwards callers' requests to backend servers. It runs on an entry VM.
 //!
-//! It holds nothing that must last. What it believes comes from the platform's store and from its
-//! peers; what it decides is in `ebonyloft-router`; what the wire calls things is in
+//! It keeps no persistent state. Its view of the system comes from the platform's store and from
+//! peer gateways. Decisions are made in `ebonyloft-router`; the names on the wire are defined in
 //! `ebonyloft-platform`.
 
 pub mod answer;
@@ -51,31 +51,31 @@
 use crate::metrics::{Metrics, Registry};
 use crate::{http, logs};
 
-/// Shortest time from a stop to the end: the platform notices after two readiness checks, one a
-/// second, and a margin.
+/// Shortest time between the stop signal and the exit: the platform notices after two readiness
+/// checks, one a second; the rest is a margin.
 const LINGER: Duration = Duration::from_millis(3_000);
-/// Left of the grace period when the last streams are broken off.
+/// Time before the end of the grace period at which the remaining streams are cut off.
 const LAST_MARGIN: Duration = Duration::from_millis(300);
-/// Pause between two looks at what is still open while stopping.
+/// Interval between checks for open requests while stopping.
 const STOP_LOOK: Duration = Duration::from_millis(50);
-/// Pause between two rounds of upkeep: beliefs that settle, connections that idle.
+/// Interval between upkeep rounds.
 const UPKEEP: Duration = Duration::from_millis(250);
-/// Upkeep rounds between two looks at the settings file.
+/// Upkeep rounds between two reads of the settings file.
 const RELOAD_ROUNDS: u64 = 8;
 
-/// A gateway's own settings.
+/// Options of a gateway process.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The platform's settings file.
+    /// Path of the platform's settings file.
     pub file: PathBuf,
     /// Port of the metrics page.
     pub metrics_port: u16,
-    /// Key of the digests of what requests ask for; the same at all gateways.
+    /// Key of the keyed request digests; the same at all gateways.
     pub digest_key: String,
 }
 
-/// Runs until `stop` resolves and everything under way has ended; `hup` gives a message for each
-/// signal that the settings file changed.
+/// Runs until `stop` resolves and all open requests have ended. `hup` handles the signals that
+/// announce a changed settings file.
 pub async fn run(
     node: Node,
     options: Options,
@@ -100,8 +100,8 @@
     while shared.open.get() > 0 && shared.now() < end {
         compio::time::sleep(STOP_LOOK).await;
     }
-    // Until now callers were taken, since others may be stopping too. Connections without a request
-    // are closed first, the others behind their answers.
+    // Callers were accepted until now, since other gateways may be stopping too. Idle connections
+    // are closed first, the others after their answers.
     let _ = close.send(());
     compio::time::sleep(STOP_LOOK).await;
     tracing::info!(open = shared.open.get(), "stopped");
@@ -116,7 +116,7 @@
     closing: ingress::Closing,
     hup: impl Future<Output = ()> + 'static,
 ) -> io::Result<()> {
-    let missing = || io::Error::other("the settings name no address for callers");
+    let missing = || io::Error::other("the settings have no address for callers");
     let callers = TcpListener::bind(node.callers.ok_or_else(missing)?).await?;
     let peer_addr = SocketAddr::from((node.ip, node.peer_port));
     let peers = TcpListener::bind(peer_addr).await?;
@@ -163,8 +163,8 @@
     http::response(StatusCode::OK, "text/plain", http::full(registry.page()))
 }
 
-/// What must happen from time to time: beliefs settle, records of the gone are dropped, idle
-/// connections closed, settings read again.
+/// Periodic upkeep: settles the server registry, drops the state of servers that are gone, closes
+/// idle connections and reloads the settings.
 async fn upkeep(shared: Rc<Shared>, file: PathBuf) {
     let mut round = 0_u64;
     let mut logged = 0;
@@ -172,12 +172,13 @@
         compio::time::sleep(UPKEEP).await;
         round += 1;
         shared.judge_role();
-        // Read only now: who hears of the store from peers believes it as of the moment that their word
-        // is taken, and would by an earlier one never take a missing registration as gone.
+        // The clock is read only here. A gateway that learns the store's state from peers dates its
+        // view by when it applies their message; compared with an earlier timestamp, a missing
+        // registration would never count as gone.
         let now = shared.now();
         if shared.fresh.borrow().settled(now) {
             for server in shared.roster.borrow_mut().settle() {
-                tracing::info!(server, "backend server is gone: not registered anew");
+                tracing::info!(server, "backend server is gone: it was not registered again");
             }
         }
         shared.pool.expire(now);
@@ -203,7 +204,7 @@
         }
         let dropped = logs::dropped();
         if dropped > logged {
-            tracing::warn!(lines = dropped - logged, "log lines left out: too many in a second");
+            tracing::warn!(lines = dropped - logged, "log lines dropped: too many in one second");
             logged = dropped;
         }
         shared.metrics.gauge("gateway.open", shared.open.get() as u64);
@@ -215,7 +216,7 @@
     }
 }
 
-/// Reads the settings again; bad ones leave those in force.
+/// Reloads the settings file; the current settings stay in force if it is invalid.
 fn reload(shared: &Shared, file: &std::path::Path) {
     match settings::read(file) {
         Ok(node) if node == *shared.node() => {}
@@ -223,6 +224,8 @@
             tracing::info!(name = %node.name, zone = %node.zone, "settings reloaded");
             *shared.node.borrow_mut() = Rc::new(node);
         }
-        Err(e) => tracing::error!(error = %e, "settings not reloaded; the old ones stay in force"),
+        Err(e) => {
+            tracing::error!(error = %e, "cannot reload the settings; the old ones stay in force")
+        }
     }
 }
--- a/crates/daemon/src/gateway/answer.rs
+++ b/crates/daemon/src/gateway/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: what a backend server said, or why there is no answer.
+//! Answers to callers: a backend server's response, or a refusal with its cause.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 use serde::Serialize;
 use snafu::Snafu;
 
-/// The answer broke off; the caller's connection is closed without its end.
+/// The answer broke off: the caller's connection is closed before the end of the body.
 #[derive(Clone, Copy, Debug, Snafu)]
 #[snafu(display("the answer broke off"))]
 pub struct Broken;
@@ -23,41 +23,41 @@
 /// Body of an answer to a caller.
 pub type Body = UnsyncBoxBody<Bytes, Broken>;
 
-/// Why this process answers in place of a backend server.
+/// Why the gateway answers in place of a backend server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
-    /// The request is not HTTP that can be passed on.
+    /// The request is not HTTP that can be forwarded.
     Malformed,
-    /// The body is larger than the operator allows.
+    /// The body is larger than the configured limit.
     TooLarge,
-    /// No route has this host and path.
+    /// No route matches the host and path.
     NoRoute,
-    /// No key is shown where one is needed, or one that no account holds.
+    /// The request has no key where one is required, or a key that belongs to no account.
     Unauthorized,
-    /// The configuration may be older than a key that was taken away may still run work.
+    /// The configuration may be too old to know whether the key was revoked.
     Unconfirmed,
-    /// Its account asks for more than its quota.
+    /// The account exceeds its quota.
     OverQuota,
-    /// Nobody who lends the account's quota can be reached.
+    /// No gateway that grants the account's quota can be reached.
     QuotaUnknown,
-    /// No configuration or list of backend servers is known yet.
+    /// The configuration or the server registry is not known yet.
     NotReady,
-    /// The process is stopping, and the request would not end before it does.
+    /// The process is stopping, and the request would not finish before it exits.
     Stopping,
     /// No backend server of the service can be reached.
     NoServer,
-    /// All backend servers are full for longer than the caller waits.
+    /// All backend servers stay full for longer than the caller waits.
     Overload,
-    /// Backend servers turned it away and the budget of extra arrivals is spent.
+    /// Backend servers rejected the request, and the retry budget is used up.
     Budget,
-    /// Backend servers ended under the same request: it is not sent any more.
+    /// The request is confirmed to crash backend servers and is no longer sent.
     Quarantined,
-    /// A backend server may have ended under the same request: it is being looked into, or tried.
+    /// A backend server may have crashed under the same request, which is being checked or probed.
     Suspect,
-    /// It was sent, and no whole answer came.
+    /// The request was sent, and no complete answer arrived.
     Lost,
-    /// The time for it ran out after it was sent.
+    /// The deadline passed after the request was sent.
     Timeout,
 }
 
@@ -82,7 +82,8 @@
     verdict: Verdict,
 }
 
-/// A request's final refusal or failure; `retry` says when it is worth coming back.
+/// The final refusal or failure of a request; `retry` is the retry-after time, sent only if the
+/// request did not run.
 pub fn refusal(cause: Cause, verdict: Verdict, retry: Option<Duration>) -> Response<Body> {
     let text = serde_json::to_vec(&Problem { cause, verdict }).unwrap_or_default();
     let mut response = Response::new(full(Bytes::from(text)));
@@ -100,7 +101,7 @@
     response
 }
 
-/// A backend server's answer, whole.
+/// A complete answer of a backend server.
 pub fn whole(status: StatusCode, headers: HeaderMap, body: Bytes) -> Response<Body> {
     let mut response = Response::new(full(body));
     *response.status_mut() = status;
@@ -108,12 +109,12 @@
     response
 }
 
-/// A body of these bytes.
+/// A body with these bytes.
 pub fn full(bytes: Bytes) -> Body {
     Full::new(bytes).map_err(|e| match e {}).boxed_unsync()
 }
 
-/// Ties a token to the body: it is dropped when the caller has the answer, or is gone.
+/// Attaches a token to the body; it is dropped once the caller has the answer or has disconnected.
 pub fn tie(response: Response<Body>, token: oneshot::Sender<()>) -> Response<Body> {
     response.map(|body| {
         body.map_frame(move |frame| {
@@ -124,7 +125,7 @@
     })
 }
 
-/// What the work comes to, or nothing when its caller is gone before; the work ends there.
+/// Runs `work` to its end, or returns `None` as soon as the caller has disconnected.
 pub async fn unless_gone<T>(
     gone: oneshot::Receiver<()>,
     work: impl Future<Output = T>,
@@ -135,7 +136,7 @@
     }
 }
 
-/// Has the connection closed behind the answer.
+/// Closes the caller's connection after this answer.
 pub fn close_after(response: &mut Response<Body>) {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
--- a/crates/daemon/src/gateway/call.rs
+++ b/crates/daemon/src/gateway/call.rs
@@ -1,4 +1,4 @@
-//! A request with one short answer, at a plain backend server.
+//! Short calls: requests with a single answer from a plain backend server.
 
 use std::time::Duration;
 
@@ -22,14 +22,15 @@
 use super::send::{self, Expect, Whole};
 use super::shared::{Basis, Shared};
 
-/// Part of a route's goal after which a call that may be repeated is sent elsewhere: what is left
-/// suffices for a call of mean length.
+/// Fraction of the route's goal after which an idempotent call is sent to another server; the rest
+/// is enough for a call of average length.
 pub const GIVE_UP_PART: f64 = 0.7;
-/// Part of the goal after which callers are asked to come back, and up to twice of it, so that they don't
-/// come together: with the wait before, and a call of mean length behind it, they are still in time.
+/// Fraction of the goal after which a refused caller should retry, up to twice as much to spread
+/// the retries. With the time waited before and a call of average length after it, a retry still
+/// meets the goal.
 const RETRY_PART: f64 = 0.25;
 
-/// The send that is under way, or the turn that is waited for.
+/// State of a call: the send under way, or the ticket in the admission queue.
 #[derive(Default)]
 struct Flight {
     open: Option<(Server, Timestamp)>,
@@ -37,7 +38,8 @@
 }
 
 impl Flight {
-    /// The caller is gone: the send's connection is closed already, nothing is learnt from it of its time.
+    /// Ends what is open when the caller has disconnected. The send's connection is already closed,
+    /// and its duration says nothing about the server.
     fn close(self, shared: &Shared, intake: &Intake) {
         let service = &intake.service;
         if let Some((server, sent)) = self.open {
@@ -53,7 +55,7 @@
     }
 }
 
-/// Waits for a turn; false when the call can't be in time.
+/// Waits in the admission queue; false if the call cannot meet its goal.
 async fn wait(shared: &Shared, intake: &Intake, flight: &mut Flight) -> bool {
     let joined = shared.now();
     let ticket = shared.line(&intake.service).join(joined, intake.goal_at, intake.route().goal);
@@ -78,11 +80,20 @@
     };
     let ms = shared.now().since(joined).as_millis() as u64;
     let Basis { config, roster, age } = shared.basis();
-    tracing::info!(id = intake.id(), ms, window, waiting, config, roster, age, "no turn in time");
+    tracing::info!(
+        id = intake.id(),
+        ms,
+        window,
+        waiting,
+        config,
+        roster,
+        age,
+        "not admitted in time"
+    );
     false
 }
 
-/// Sends a request and answers; stops when the caller is gone.
+/// Sends a request and answers it; stops if the caller disconnects.
 pub async fn run(
     shared: &Shared,
     intake: &Intake,
@@ -100,7 +111,7 @@
     tracing::info!(id = intake.id(), route = %intake.route().name, status, ms, "request ended");
     shared.metrics.time("gateway.call_ms", ms);
     if let Some(response) = answered {
-        // The caller may have gone in this very moment.
+        // The caller may have disconnected by now.
         let _ = reply.send(response);
     }
 }
@@ -124,7 +135,8 @@
             cause = refused;
             break;
         }
-        // What failed is tried again only where that takes nobody's place.
+        // A failed call is retried only if the service has free capacity, so that it displaces no
+        // other call.
         if last.is_some() && !shared.line(&intake.service).has_room(now) {
             break;
         }
@@ -177,14 +189,15 @@
     refuse(shared, intake, cause, progress.verdict())
 }
 
-/// When the first backend server takes something again, if all that could be sent to want nothing now.
+/// When the first of the untried servers is available again, if all of them are paused or at their
+/// limit.
 fn all_rest(shared: &Shared, intake: &Intake, tried: &[ServerId]) -> Option<Timestamp> {
     let roster = shared.roster.borrow();
     let left = roster.ready(&intake.service).filter(|s| !tried.contains(&s.id));
     said::soonest(shared, left)
 }
 
-/// The best backend server for a call that was not tried yet.
+/// The best backend server for a call among those not tried yet.
 pub fn pick(
     shared: &Shared,
     intake: &Intake,
@@ -197,7 +210,7 @@
     plain.pick(now, &node.zone, servers, tried, || shared.draw()).cloned()
 }
 
-/// How long this send may take: all the time there is when nothing else can be tried.
+/// Time limit of this send: all the time left if no other server can be tried.
 fn limit(
     shared: &Shared,
     intake: &Intake,
@@ -244,11 +257,11 @@
     (fate, answer)
 }
 
-/// Another life answered at its address.
+/// Marks a server as gone after another one answered at its address.
 pub fn gone(shared: &Shared, id: &ServerId) {
     quarantine::note_ended(shared, id, "address");
     if shared.roster.borrow_mut().replaced(id) {
-        tracing::info!(server = %id, "backend server is gone: another one has its address");
+        tracing::info!(server = %id, "backend server is gone: another one answered at its address");
     }
 }
 
@@ -265,7 +278,7 @@
     refuse_for(shared, intake, cause, verdict, retry)
 }
 
-/// All backend servers want nothing for longer than the caller's goal.
+/// Refuses a call because all servers are paused or at their limit until after the caller's goal.
 fn refuse_until(
     shared: &Shared,
     intake: &Intake,
--- a/crates/daemon/src/gateway/ingress.rs
+++ b/crates/daemon/src/gateway/ingress.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: reading requests, finding their route, handing them on.
+//! Callers' connections: reads requests, finds their routes and starts a task for each.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -31,20 +31,21 @@
 use super::{call, keys, quarantine, quota, stream};
 use crate::http;
 
-/// Digits of a key's digest in the log: enough to find it, not enough to confirm a guess.
+/// Hex digits of a key's digest in the log: enough to find the key, too few to confirm a guess.
 const KEY_DIGITS: usize = 8;
-/// Callers' request heads have no more headers than this; a guard for memory.
+/// Most headers of a caller's request; bounds the memory for it.
 const HEADERS_MAX: usize = 100;
-/// Smallest read buffer that the HTTP library allows.
+/// Smallest read buffer that hyper allows.
 const BUFFER_MIN: usize = 8 << 10;
 
-/// How long streams are taken after a stop was asked for. The platform sends callers elsewhere after
-/// two readiness checks, one a second, and what is taken by then has most of the grace period.
+/// How long streams are accepted after the stop signal. The platform sends callers elsewhere after
+/// two readiness checks, one a second; a stream accepted by then has most of the grace period left.
 const STREAMS_TAKEN: Duration = Duration::from_millis(2_800);
-/// Left of the grace period when short calls are no longer taken: the longest of their deadlines.
+/// Time left of the grace period below which short calls are refused: the longest of their
+/// deadlines.
 const CALLS_LEFT: Duration = Duration::from_millis(1_500);
 
-/// Resolves when connections are to be closed.
+/// Resolves when callers' connections must be closed.
 pub type Closing = SharedFuture<oneshot::Receiver<()>>;
 
 /// Accepts callers until `closing` resolves.
@@ -72,14 +73,14 @@
 }
 
 async fn connection(shared: Rc<Shared>, stream: TcpStream, closing: Closing) {
-    // Small answers would otherwise wait for acknowledgements; nothing breaks without it.
+    // Without it small answers wait for acknowledgements; a failure to set it is harmless.
     let _ = stream.set_nodelay(true);
     let limits = shared.config().map_or_else(Limits::default, |c| c.limits.clone());
     let service = service_fn(move |req| {
         let shared = shared.clone();
         async move { Ok::<_, Infallible>(handle(shared, req).await) }
     });
-    // The library has one limit for idle connections and for slow heads: the longer one holds.
+    // hyper has one timeout for idle connections and for slow heads; the longer setting applies.
     let served = http1::Builder::new()
         .timer(CompioTimer)
         .header_read_timeout(limits.idle.max(limits.head_time))
@@ -95,15 +96,15 @@
         }
     };
     if let Err(e) = ended {
-        tracing::debug!(error = %e, "caller's connection ended");
+        tracing::debug!(error = %e, "caller's connection failed");
     }
 }
 
-/// Answers one request. Dropping the future says that the caller is gone.
+/// Answers one request; the future is dropped when the caller disconnects.
 async fn handle(shared: Rc<Shared>, req: Request<Incoming>) -> Response<Body> {
     let came_at = shared.now();
-    // With chunks, a length that contradicts them may hide a second request in the body: nothing
-    // that follows on this connection is believed.
+    // A content length that contradicts the chunks may hide a second request in the body (request
+    // smuggling), so the connection is closed after the answer.
     let chunked = req.headers().contains_key(TRANSFER_ENCODING);
     let mut response = match read(&shared, req, came_at).await {
         Ok(intake) => work(&shared, intake).await,
@@ -115,7 +116,7 @@
     response
 }
 
-/// Reads a request whole and finds its route.
+/// Reads a complete request and finds its route.
 async fn read(
     shared: &Rc<Shared>,
     req: Request<Incoming>,
@@ -181,7 +182,7 @@
     Ok(intake)
 }
 
-/// The account of a request, and what it counts of the account's quota.
+/// The account of a request, and the request's cost against the account's quota.
 fn admit(
     shared: &Shared,
     config: &Config,
@@ -202,7 +203,7 @@
                 key,
                 config = config.version,
                 config_age = age,
-                "key not taken"
+                "key not accepted"
             );
             shared.metrics.count("gateway.keys.refused", 1);
         })?;
@@ -213,7 +214,7 @@
     Ok((Some(account.name.clone()), weight.ok_or(Cause::Malformed)?))
 }
 
-/// Can a request that comes now still end before the process does?
+/// Can a request that arrives now finish before the process exits?
 fn may_end(shared: &Shared, asked: Timestamp, now: Timestamp, kind: Kind) -> bool {
     match kind {
         Kind::Stream => now < asked.after(STREAMS_TAKEN),
@@ -223,14 +224,14 @@
     }
 }
 
-/// The moments that bound a request.
+/// Timestamps that bound a request.
 struct Times {
     came_at: Timestamp,
     ends_at: Timestamp,
     goal_at: Timestamp,
 }
 
-/// Where a request goes: its route in a configuration, and the service chosen for it.
+/// Where a request goes: a route of a configuration, and the service chosen for it.
 struct Target {
     config: Rc<Config>,
     route: usize,
@@ -286,7 +287,7 @@
     config.routes.iter().position(|r| std::ptr::eq(r, route)).unwrap_or(0)
 }
 
-/// A service by weight; another of the route when that one has no backend server.
+/// Picks a service by weight, or another one of the route if that one has no ready server.
 fn choose_service(shared: &Shared, config: &Config, route: usize) -> Option<String> {
     let route = &config.routes[route];
     let roster = shared.roster.borrow();
@@ -299,7 +300,7 @@
     Some(other.map_or(chosen, |s| s.service.as_str()).to_owned())
 }
 
-/// Hands a request to a task of its own, which outlives the caller for as long as it must clean up.
+/// Runs a request in its own task, which outlives the caller until its state is cleaned up.
 async fn work(shared: &Rc<Shared>, intake: Intake) -> Response<Body> {
     let trial = match quarantine::admit(shared, &intake).await {
         Ok(trial) => trial,
@@ -334,7 +335,7 @@
     .detach();
     match answer.await {
         Ok(response) => answer::tie(response, token),
-        // The task ends without an answer only when the caller is gone.
+        // The task ends without an answer only if the caller has disconnected.
         Err(_) => answer::refusal(Cause::Lost, Verdict::MayHaveRun, None),
     }
 }
--- a/crates/daemon/src/gateway/intake.rs
+++ b/crates/daemon/src/gateway/intake.rs
@@ -1,4 +1,4 @@
-//! A caller's request as it was read, with what was resolved for it once.
+//! A caller's request after it was read, with the route, service and deadlines resolved for it.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,57 +14,58 @@
 use http::HeaderMap;
 use hyper::{Method, Request, Uri};
 
-/// Deadlines sent to backend servers end this much before the caller's, for the way back.
+/// Deadlines sent to backend servers are this much earlier than the caller's, to leave time for the
+/// answer to return.
 const WAY_BACK: Duration = Duration::from_millis(8);
 
-/// A request with its route.
+/// A caller's request and its route.
 pub struct Intake {
-    /// How the request was sent.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// The caller's headers that are passed on.
+    /// The caller's headers that are forwarded.
     pub headers: HeaderMap,
-    /// What the caller says of it.
+    /// What the caller's own headers say about the request.
     pub caller: Caller,
-    /// Digest of what it asks for.
+    /// Keyed digest of the request.
     pub content: Content,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// The account that its key belongs to.
+    /// The account that its key belongs to, if any.
     pub account: Option<Account>,
-    /// What it counts of that account's quota; zero without one.
+    /// Its cost against the account's quota; zero without a quota.
     pub weight: u64,
-    /// It may have begun to run somewhere.
+    /// Whether it may have begun to run at a backend server.
     pub ran: Cell<bool>,
-    /// Its arrivals at backend servers.
+    /// Its sends to backend servers, as counted for the retry budget.
     pub arrivals: Cell<Arrivals>,
-    /// The configuration by which it is treated, to its end.
+    /// The configuration that applies to it until it ends.
     pub config: Rc<Config>,
     /// Index of its route in that configuration.
     pub route: usize,
-    /// Name of the service that takes it.
+    /// Name of the service that handles it.
     pub service: String,
     /// When its head was read.
     pub came_at: Timestamp,
-    /// When the caller, or the operator, stops waiting.
+    /// When the caller's deadline or the route's timeout ends it, whichever is earlier.
     pub ends_at: Timestamp,
-    /// When its answer or first event is in time, counted from the caller's first attempt.
+    /// When its answer or first event is due, counted from the caller's first attempt.
     pub goal_at: Timestamp,
 }
 
 impl Intake {
-    /// Its route.
+    /// Its route in the configuration.
     pub fn route(&self) -> &Route {
         &self.config.routes[self.route]
     }
 
-    /// Id of the attempt, for logs.
+    /// Id of the caller's attempt, for logs.
     pub fn id(&self) -> &str {
         self.caller.attempt.as_deref().unwrap_or("-")
     }
 
-    /// May it run more than once?
+    /// Can it safely run more than once?
     pub fn is_repeatable(&self) -> bool {
         let route = self.route();
         match route.kind {
@@ -74,7 +75,7 @@
         }
     }
 
-    /// The request for one backend server; its deadline is what is left now.
+    /// Builds the request for one backend server, with the time left as its deadline.
     pub fn request(&self, now: Timestamp, to: &ServerId) -> Request<Bytes> {
         let mut req = Request::new(self.body.clone());
         *req.method_mut() = self.method.clone();
--- a/crates/daemon/src/gateway/keys.rs
+++ b/crates/daemon/src/gateway/keys.rs
@@ -1,8 +1,9 @@
-//! Whose key a request carries, and whether it may still run work.
+//! Identifies the account of a request by its key, and checks whether the key may still run work.
 //!
-//! A key that was taken away must not run anything behind its bound, also at a gateway that is cut off or was
-//! paused. So it is looked at when a request comes and again before each send, by a configuration that is
-//! known to have been the newest a short time ago (`ebonyloft_router::recency`).
+//! A revoked key must not run anything after the configured bound, even at a gateway that was cut
+//! off or suspended. The key is therefore checked when a request arrives and again before each
+//! send, against a configuration that is known to have been the newest a short time ago
+//! (`ebonyloft_router::recency`).
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,13 +20,13 @@
 use super::intake::Intake;
 use super::shared::{Basis, Shared};
 
-/// Pause between two looks at how old the configuration is.
+/// Interval between checks of the configuration's age.
 const LOOK: Duration = Duration::from_millis(100);
-/// Left of the time in which a change must be in force when an unknown key is believed to be none: it may
-/// have been added since.
+/// An unknown key is rejected for good only if the configuration's age is below the bound for
+/// applying changes by this much; otherwise the key may have been added since.
 const UNKNOWN_SLACK: Duration = Duration::from_millis(500);
 
-/// Whose request this is; none for anyone's.
+/// The account of a request; `None` if the request needs none.
 pub fn identify<'a>(
     shared: &Shared,
     config: &'a Config,
@@ -47,7 +48,7 @@
     }
 }
 
-/// May a request still be sent? Asked again before each send: it may have waited.
+/// May a request still be sent? Checked again before each send, since the request may have waited.
 pub fn check(shared: &Shared, intake: &Intake) -> Result<(), Cause> {
     let Some(name) = &intake.account else {
         return Ok(());
@@ -58,7 +59,7 @@
     let config = shared.config();
     let accounts = config.as_ref().and_then(|c| c.accounts.as_ref());
     let held = match (accounts, &intake.caller.credential) {
-        // Accounts were done away with: what came under one may run.
+        // Accounts were removed from the configuration: a request accepted under one may run.
         (None, _) => true,
         (Some(accounts), Credential::Key(key)) => {
             accounts.of_key(key).is_some_and(|a| a.name == *name)
@@ -68,7 +69,7 @@
     if held { Ok(()) } else { Err(Cause::Unauthorized) }
 }
 
-/// The same, noted: false when a request may not be sent.
+/// Like `check`, but logs the cause and returns false if the request may not be sent.
 pub fn may_send(shared: &Shared, intake: &Intake) -> bool {
     let Err(cause) = check(shared, intake) else {
         return true;
@@ -81,23 +82,24 @@
         ?cause,
         config,
         config_age = age,
-        "not sent: its key may not run work"
+        "not sent: its key is revoked, or the configuration too old to tell"
     );
     false
 }
 
-/// Is the configuration known to hold as of a moment recent enough for requests with keys?
+/// Is the configuration fresh enough for requests with keys?
 pub fn is_recent(shared: &Shared) -> bool {
     shared.recency.borrow().holds(shared.now(), shared.node().bounds.revoke)
 }
 
-/// Within which a key that was taken away must stop running work; none while there are no such keys.
+/// Time within which a revoked key must stop running work; `None` without such a bound or without
+/// accounts.
 pub fn bound(shared: &Shared) -> Option<Duration> {
     let keyed = shared.config().is_some_and(|c| c.accounts.is_some());
     shared.node().bounds.revoke.filter(|_| keyed)
 }
 
-/// Asks others how old their configuration is while this gateway's may be old.
+/// Asks peers how old their configuration is while this gateway's may be stale.
 pub async fn keep_recent(shared: std::rc::Rc<Shared>) {
     let mut held = false;
     loop {
@@ -116,13 +118,18 @@
         if is_recent(&shared) != held {
             held = !held;
             let config = shared.basis().config;
-            tracing::info!(held, config, config_age = age, "requests with keys may run");
+            tracing::info!(
+                held,
+                config,
+                config_age = age,
+                "permission to run requests with keys changed"
+            );
         }
     }
 }
 
-/// Whom to ask: one that follows the store, of the own availability zone if there is one, and, in case that
-/// those are cut off too, any one.
+/// Peers to ask: one that follows the store, preferably in the own availability zone; any peer if
+/// none does.
 fn asked(shared: &Shared) -> Vec<SocketAddr> {
     let (now, node) = (shared.now(), shared.node());
     let (fleet, shares) = (shared.fleet.borrow(), shared.shares.borrow());
@@ -145,20 +152,20 @@
     asked
 }
 
-/// A peer asks how old the configuration is here.
+/// Answers a peer that asks how old the configuration is here.
 pub fn tell_age(shared: &Shared, to: SocketAddr, number: u64) {
     let Held { version, age } = held(shared);
     shared.post(to, News::Held(number, version, age.as_millis() as u64 + 1));
 }
 
-/// A peer's answer.
+/// Handles a peer's answer about the age of its configuration.
 pub fn hear_age(shared: &Shared, number: u64, version: u64, age: u64) {
     let theirs = Held { version, age: Duration::from_millis(age) };
     let own = shared.basis().config;
     shared.recency.borrow_mut().on_answer(number, own, theirs);
 }
 
-/// What this gateway knows of its configuration.
+/// Version and age of this gateway's configuration.
 pub fn held(shared: &Shared) -> Held {
     let version = shared.basis().config;
     Held { version, age: shared.recency.borrow().age(shared.now()) }
--- a/crates/daemon/src/gateway/pool.rs
+++ b/crates/daemon/src/gateway/pool.rs
@@ -1,7 +1,7 @@
-//! Connections to backend servers, to the store and to peers.
+//! Pool of HTTP connections to backend servers, to the store and to peers.
 //!
-//! A connection carries one exchange at a time and is kept for the next one. Dropping it closes the
-//! socket at once, which is how the other end learns that an answer is not wanted any more.
+//! A connection carries one exchange at a time and is kept for reuse. Dropping it closes the socket
+//! at once, which tells the other end that the answer is no longer wanted.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -22,22 +22,22 @@
 
 use crate::clock::Clock;
 
-/// Longest wait for a new connection: some hundred times the way between availability zones, and
-/// short enough to try another backend server within a check's goal.
+/// Connect timeout: about a hundred times the latency between availability zones, and short enough
+/// to try another backend server within the goal of a check.
 pub const CONNECT_WAIT: Duration = Duration::from_millis(80);
-/// A kept connection that was idle for longer is closed: idle ends are dropped after whole seconds,
-/// the shortest being one.
+/// Longest idle time of a pooled connection: the other ends close idle connections after whole
+/// seconds, one at the least.
 pub const IDLE_MAX: Duration = Duration::from_millis(900);
-/// Idle time up to which a request that may run only once rides on a kept connection; an end that
-/// closes it early has not been seen to do so sooner.
+/// Longest idle time of a connection for a request that may run only once; no server has been seen
+/// to close a connection earlier than this.
 pub const IDLE_MAX_ONCE: Duration = Duration::from_millis(500);
-/// Longest time for a whole body however steadily it comes: a megabyte over the slowest link, its other
-/// traffic beside it, takes two seconds.
+/// Time limit for a whole body, however steadily it arrives: a megabyte takes two seconds over the
+/// slowest link with its other traffic.
 pub const BODY_WAIT: Duration = Duration::from_secs(6);
-/// An answer whose body takes longer than this behind its head is logged: what else was to come from there
-/// is late with it.
+/// A body that takes longer than this after its head is logged, since other data on the same link
+/// is delayed too.
 const BODY_SLOW: Duration = Duration::from_millis(100);
-/// Idle connections kept to one address.
+/// Idle connections kept per address.
 const IDLE_COUNT: usize = 16;
 
 /// Why an exchange gave no answer.
@@ -46,7 +46,7 @@
     /// No byte of the request reached the other end.
     #[snafu(display("not sent"))]
     Unsent,
-    /// It was sent; whether it was taken is not known.
+    /// The request was sent; whether it was received is unknown.
     #[snafu(display("sent, but not answered"))]
     Lost,
 }
@@ -82,18 +82,18 @@
     }
 }
 
-/// What a call to an address met.
+/// Result of a call that checks whether a server answers at an address.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Reached {
-    /// An answer with this status.
+    /// A server answered with this status.
     Answered(StatusCode),
-    /// Nobody listens there.
+    /// The connection was refused: no process listens there.
     Refused,
-    /// The connection broke.
+    /// The connection failed or broke.
     Broken,
 }
 
-/// An answer whose head has come.
+/// An answer whose head has arrived and whose body is unread.
 pub struct Coming {
     conn: Conn,
     response: Response<Incoming>,
@@ -101,25 +101,25 @@
 }
 
 impl Coming {
-    /// When its head came: what it says was true then, however long its body takes.
+    /// When the head arrived; the answer is true as of then, however long its body takes.
     pub fn head_at(&self) -> Timestamp {
         self.head_at
     }
 }
 
-/// Kept connections, by address.
+/// Idle connections, by address.
 pub struct Pool {
     clock: Clock,
     idle: RefCell<HashMap<SocketAddr, Vec<Conn>>>,
 }
 
 impl Pool {
-    /// No connections yet.
+    /// An empty pool.
     pub fn new(clock: Clock) -> Self {
         Pool { clock, idle: RefCell::new(HashMap::new()) }
     }
 
-    /// A connection that was idle for `idle_max` at most, or a new one.
+    /// A connection that was idle for at most `idle_max`, or a new one.
     pub async fn take(&self, addr: SocketAddr, idle_max: Duration) -> Result<Conn, ExchangeError> {
         if let Some(conn) = self.kept(addr, idle_max) {
             return Ok(conn);
@@ -128,7 +128,7 @@
         opened.unwrap_or(Err(ExchangeError::Unsent))
     }
 
-    /// Keeps a connection for the next exchange, if it is still good.
+    /// Returns a connection to the pool if it is still open.
     pub fn give(&self, mut conn: Conn) {
         if conn.sender.is_closed() {
             return;
@@ -142,8 +142,8 @@
         }
     }
 
-    /// One exchange whose answer is read whole, with a time limit on its head and on each pause in its
-    /// body.
+    /// Performs an exchange and reads the complete answer; `limit` applies to the head and to each
+    /// pause in the body.
     pub async fn call(
         &self,
         addr: SocketAddr,
@@ -154,7 +154,7 @@
         self.finish(coming, limit).await
     }
 
-    /// The same, with the headers of the answer.
+    /// Like `call`, and returns the answer's headers too.
     pub async fn call_headed(
         &self,
         addr: SocketAddr,
@@ -167,7 +167,7 @@
         Ok((headers, status, body))
     }
 
-    /// The first half of a call: until the head of the answer.
+    /// First half of a call: waits for the head of the answer.
     pub async fn ask(
         &self,
         addr: SocketAddr,
@@ -179,9 +179,9 @@
         Ok(Coming { conn, response, head_at: self.clock.now() })
     }
 
-    /// The second half: the body, each part of which must come within the limit. A limit on all of it
-    /// kept VMs at links of 10 Mbit/s from ever reading a configuration of 1,400 routes: two of 32 went
-    /// by an old one for more than ten seconds.
+    /// Second half of a call: reads the body; `limit` applies to each part. A limit on the whole
+    /// body kept VMs with links of 10 Mbit/s from ever reading a configuration of 1,400 routes: two
+    /// of 32 used an old one for more than ten seconds.
     pub async fn finish(
         &self,
         coming: Coming,
@@ -202,7 +202,7 @@
         Ok((status, body.freeze()))
     }
 
-    /// A call over a new connection, for what it meets rather than for its answer.
+    /// Calls an address over a new connection, to see whether a server answers there.
     pub async fn reach(&self, addr: SocketAddr, mut req: Request<Bytes>) -> Reached {
         let stream = match TcpStream::connect(addr).await {
             Ok(stream) => stream,
@@ -223,7 +223,7 @@
         Reached::Answered(status)
     }
 
-    /// Closes idle connections to an address: the life that they led to is over.
+    /// Closes idle connections to an address whose server has ended.
     pub fn forget(&self, addr: SocketAddr) {
         self.idle.borrow_mut().remove(&addr);
     }
@@ -242,7 +242,7 @@
         let mut idle = self.idle.borrow_mut();
         let kept = idle.get_mut(&addr)?;
         kept.retain(|c| now.since(c.idle_since) < IDLE_MAX && !c.sender.is_closed());
-        // The one used last is the least likely to have been closed meanwhile.
+        // The most recently used one is the least likely to have been closed by the other end.
         let conn = kept.pop()?;
         if now.since(conn.idle_since) <= idle_max && conn.sender.is_ready() {
             return Some(conn);
@@ -256,13 +256,13 @@
     }
 
     async fn over(&self, addr: SocketAddr, stream: TcpStream) -> Result<Conn, ExchangeError> {
-        // Small writes would otherwise wait for acknowledgements; nothing breaks without it.
+        // Without it small writes wait for acknowledgements; a failure to set it is harmless.
         let _ = stream.set_nodelay(true);
         let io = HyperStream::new_plain(stream);
         let (sender, conn) = http1::handshake(io).await.map_err(|_| ExchangeError::Unsent)?;
         let task = compio::runtime::spawn(async move {
             if let Err(e) = conn.await {
-                tracing::debug!(%addr, error = %e, "connection ended");
+                tracing::debug!(%addr, error = %e, "connection failed");
             }
         });
         Ok(Conn { addr, sender, task, idle_since: self.clock.now() })
@@ -280,7 +280,7 @@
     }
 }
 
-/// Reads a body, each part of which comes within the limit.
+/// Reads a body; `limit` applies to each part.
 async fn whole(
     mut body: Incoming,
     limit: Duration,
--- a/crates/daemon/src/gateway/quarantine.rs
+++ b/crates/daemon/src/gateway/quarantine.rs
@@ -1,8 +1,10 @@
-//! Requests under which backend servers end: what is seen of them here, told to all, and acted on.
+//! Quarantine of requests that crash backend servers: observes crashes, shares them with all
+//! gateways and refuses such requests.
 //!
-//! What counts is decided in `ebonyloft_router::quarantine` and `losses`. A proved content is also written
-//! to the store, under a lease, so that it outlives the loss of all gateways; a key that was removed says
-//! nothing, since keys lapse with the store. An operator lets a content in again by writing so there.
+//! The rules are in `ebonyloft_router::quarantine` and `losses`. The digest of a confirmed request
+//! is also written to the store, under a lease, so that it outlives the loss of all gateways. The
+//! removal of a key is ignored, since keys also expire with the store. An operator releases a
+//! request by writing a release record.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -29,49 +31,51 @@
 use super::shared::{Basis, Shared};
 use super::watch::Sink;
 
-/// Prefix of the keys of proved contents.
+/// Prefix of the store's keys of confirmed requests.
 pub const PREFIX: &str = "ebonyloft/quarantine/";
-/// Prefix of the keys of contents that one more ending would prove: all gateways may be lost before.
+/// Prefix of the store's keys of requests that one more crash would confirm; stored in case all
+/// gateways are lost before.
 pub const SUSPECTS: &str = "ebonyloft/suspects/";
-/// Longest wait for a server's sign of life: some hundred times the way between availability zones.
+/// Timeout of a server's liveness check: about a hundred times the latency between availability
+/// zones.
 const SIGN_WAIT: Duration = Duration::from_millis(150);
-/// How long a stream that broke off waits for word whether its engine ended, before it goes on elsewhere; and
-/// what asks for the same meanwhile.
+/// How long a broken stream waits to learn whether its engine crashed, before it continues
+/// elsewhere; identical requests wait as long.
 const INQUIRY_WAIT: Duration = Duration::from_millis(300);
-/// Pause between two looks at an inquiry that is waited for.
+/// Poll interval while waiting for the result of an inquiry.
 const INQUIRY_LOOK: Duration = Duration::from_millis(10);
-/// Pause between two rounds of upkeep.
+/// Interval between upkeep rounds.
 const UPKEEP: Duration = Duration::from_millis(250);
-/// Pause before a proved content that could not be written to the store is written again; doubled with each.
+/// Back-off before a failed write to the store is repeated; doubled each time.
 const WRITE_PAUSE: Duration = Duration::from_millis(500);
-/// Longest such pause: the store is back for a few seconds at least.
+/// Longest such back-off: once the store is back, it stays for a few seconds at least.
 const WRITE_PAUSE_MAX: Duration = Duration::from_secs(4);
-/// Runs that ended this soon behind their first event had only just begun.
+/// A run that broke off this soon after its first event counts as only just begun.
 pub const EARLY: Duration = Duration::from_millis(1_000);
 
-/// A content as it stands in the store.
+/// A request digest's record in the store.
 #[derive(Debug, Default, Deserialize, Serialize)]
 struct Record {
-    /// Servers that ended under it.
+    /// Servers that crashed under the request.
     servers: Vec<String>,
-    /// The same, with whether it had only just begun there, and when.
+    /// The same crashes, each with whether it came soon after the start, and when.
     #[serde(default)]
     endings: Vec<(ServerId, bool, Timestamp)>,
-    /// The gateway that wrote it.
+    /// The gateway that wrote the record.
     by: String,
-    /// An operator lets it in again.
+    /// Set by an operator to release the request.
     #[serde(default)]
     release: bool,
 }
 
-/// The only try of a suspected content in the system.
+/// The only probe of a suspected request in the whole system.
 pub struct Trial {
     content: Content,
     number: u64,
 }
 
 impl Trial {
-    /// Others may try it again, if anybody may.
+    /// Ends the probe, so that the next one may begin if the request is still only suspected.
     pub fn close(self, shared: &Shared) {
         tell(shared, self.content, Fact::Over(self.number));
     }
@@ -85,14 +89,14 @@
 }
 
 impl Refused {
-    /// The caller's answer: it has not run, and is worth sending again then.
+    /// The caller's answer: the request did not run, and may be sent again at that time.
     pub fn response(self, now: Timestamp) -> Response<Body> {
         answer::refusal(self.cause, Verdict::NotRun, Some(self.until.since(now)))
     }
 }
 
-/// May this request be sent at all? One whose content is being looked into waits a moment, since most losses
-/// are no endings; any other that may not be sent is answered at once.
+/// Decides whether a request may be sent. It waits briefly while a lost attempt of the same request
+/// is being checked, since most are no crashes; any other refusal is immediate.
 pub async fn admit(shared: &Shared, intake: &Intake) -> Result<Option<Trial>, Refused> {
     let until = shared.now().after(INQUIRY_WAIT);
     let standing = loop {
@@ -125,38 +129,39 @@
     Err(Refused { cause, until })
 }
 
-/// Is a content proved by now? Asked again before each send, since it may have waited.
+/// Is a request confirmed to crash servers? Checked again before each send, since the request may
+/// have waited.
 pub fn is_proved(shared: &Shared, content: &Content) -> bool {
     let standing = shared.quarantine.borrow().standing(shared.now(), content);
     matches!(standing, Standing::Proved(_))
 }
 
-/// How a run that broke off had begun.
+/// How far a run had come when it broke off.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Run {
-    /// A stream or a prompt, which had only just begun.
+    /// A stream or a prefill that had only just begun.
     Begun,
-    /// A stream that had gone on for a while.
+    /// A stream that had been running for a while.
     Advanced,
     /// A short call.
     Call,
 }
 
-/// A send of a request to a backend server.
+/// One send of a request to a backend server.
 #[derive(Clone, Copy, Debug)]
 pub struct Sent<'a> {
     /// The server.
     pub server: &'a Server,
-    /// How far it has come.
+    /// How far the run has come.
     pub run: Run,
     /// When it was sent.
     pub at: Timestamp,
 }
 
-/// A run broke off, or no answer came: whether its server ended is looked into.
+/// Starts an inquiry into a lost attempt: did its server crash?
 pub fn note_loss(shared: &Shared, intake: &Intake, sent: Sent<'_>) {
     let (now, server) = (shared.now(), sent.server);
-    // Who leaves ends; that is nobody's fault.
+    // A server that announced its leaving was not crashed by the request.
     let left = shared.roster.borrow().has_left(&server.id.name);
     if left || shared.quarantine.borrow().is_sound(now, &intake.content) {
         return;
@@ -172,16 +177,17 @@
     shared.inquiries.wake_all();
 }
 
-/// Nobody waits for a run any more that had only just begun: whether its server ends is looked into too, or
-/// a caller who leaves early could end one server after the other unseen. Other answers of the server mostly
-/// tell that it lives.
+/// Handles an attempt abandoned by its caller. If it had only just begun, its server is checked as
+/// well; otherwise a caller that disconnects early could crash one server after another unnoticed.
+/// Other answers of the server usually show that it is alive.
 pub fn note_left(shared: &Shared, intake: &Intake, sent: Sent<'_>) {
     if sent.run != Run::Advanced {
         note_loss(shared, intake, Sent { run: Run::Call, ..sent });
     }
 }
 
-/// A send ended: one that broke off is looked into, a whole answer clears its content.
+/// Handles the outcome of a send: a lost attempt is checked, and a complete answer clears the
+/// request.
 pub fn note_fate(shared: &Shared, intake: &Intake, sent: Sent<'_>, fate: Fate) {
     match fate {
         Fate::Lost => note_loss(shared, intake, sent),
@@ -197,8 +203,8 @@
     }
 }
 
-/// Waits until it is known whether the server ended at which a run of this content broke off, but not for
-/// long.
+/// Waits, for a limited time, until it is known whether the server of a lost attempt of this
+/// request crashed.
 pub async fn settled(shared: &Shared, content: &Content) {
     let until = shared.now().after(INQUIRY_WAIT);
     while shared.now() < until && shared.losses.borrow().is_open(content) {
@@ -206,20 +212,20 @@
     }
 }
 
-/// A server answered what was sent at `sent`.
+/// Handles an answer to what was sent at `sent`, which shows that the server was alive.
 pub fn note_alive(shared: &Shared, id: &ServerId, sent: Timestamp) {
     let cleared = shared.losses.borrow_mut().alive(id, sent);
     let early = cleared.iter().filter(|loss| loss.early);
     early.for_each(|loss| tell(shared, loss.content, Fact::Over(loss.number)));
 }
 
-/// A life of a server has ended without having said that it leaves.
+/// Handles the end of a server's incarnation that did not announce its leaving.
 pub fn note_ended(shared: &Shared, id: &ServerId, how: &'static str) {
     let losses = shared.losses.borrow_mut().ended(id);
     blame(shared, id, losses, how);
 }
 
-/// The registration of a name is gone, or names another life now.
+/// Handles a registration that is gone, or that names another incarnation now.
 pub fn note_gone(shared: &Shared, name: &str) {
     let current = shared.roster.borrow().named(name).map(|s| s.id.clone());
     let ended = shared.losses.borrow_mut().ended_but(name, current.as_ref());
@@ -228,8 +234,8 @@
     }
 }
 
-/// A life registered at an address: whoever was there before has ended, also when the store can't be
-/// believed yet.
+/// Handles a new registration: any other incarnation at its address has ended, even while the
+/// store's state is not trusted yet.
 pub fn note_joined(shared: &Shared, addr: SocketAddr, id: &ServerId) {
     let replaced = shared.losses.borrow().replaced(addr, id);
     replaced.iter().for_each(|before| note_ended(shared, before, "address"));
@@ -243,7 +249,7 @@
         let age = shared.now().since(loss.at).as_millis() as u64;
         tracing::info!(
             content = %loss.content, server = %id, early = loss.early, how, age,
-            "backend server ended under a request"
+            "backend server crashed under a request"
         );
         let fact = Fact::Ended(id.clone(), loss.early);
         note(shared, Word { content: loss.content, age, fact });
@@ -257,14 +263,14 @@
     note(shared, Word { content, age: 0, fact });
 }
 
-/// Takes what happened here and has it told to all.
+/// Applies an observation made here and publishes it to all gateways.
 fn note(shared: &Shared, word: Word) {
     take(shared, &word, None);
     shared.notes.borrow_mut().words.push(word);
     shared.inquiries.wake_all();
 }
 
-/// Takes what happened here, or what a peer told.
+/// Applies an observation made here, or reported by a peer or the store.
 pub fn take(shared: &Shared, word: &Word, peer: Option<&str>) {
     let change = shared.quarantine.borrow_mut().take(shared.now(), word);
     let (content, fact, age) = (word.content, &word.fact, word.age);
@@ -272,7 +278,7 @@
         Change::Nothing => {}
         Change::Suspected => {
             let endings = shared.quarantine.borrow().endings(&content).len();
-            tracing::info!(%content, ?fact, age, peer, endings, "content suspected");
+            tracing::info!(%content, ?fact, age, peer, endings, "request suspected of crashing servers");
             let close = shared.quarantine.borrow().is_close(&content);
             if close && (peer.is_none() || is_first(shared)) {
                 shared.proofs.borrow_mut().push(content);
@@ -282,22 +288,25 @@
             let quarantine = shared.quarantine.borrow();
             let ended = quarantine.endings(&content).iter().map(|e| e.server.to_string());
             let servers = ended.collect::<Vec<_>>().join(" ");
-            tracing::warn!(%content, ?fact, age, peer, servers, "content proved");
+            tracing::warn!(%content, ?fact, age, peer, servers, "request confirmed to crash servers");
             shared.metrics.count("gateway.quarantine.proved", 1);
             if peer.is_none() || is_first(shared) {
                 shared.proofs.borrow_mut().push(content);
             }
         }
-        Change::Cleared => tracing::info!(%content, ?fact, age, peer, "content cleared"),
+        Change::Cleared => {
+            tracing::info!(%content, ?fact, age, peer, "request cleared of crashing servers")
+        }
     }
 }
 
-/// Does this gateway come first of all? It writes what is proved only by what several others saw.
+/// Is this gateway the first by name? The first one writes what was confirmed only by reports of
+/// several others.
 fn is_first(shared: &Shared) -> bool {
     shared.fleet.borrow().all().keys().next() == Some(&shared.node().name)
 }
 
-/// Looks into losses, writes proofs to the store, forgets what is over.
+/// Checks lost attempts, writes confirmed requests to the store and expires old state.
 pub async fn run(shared: Rc<Shared>) {
     loop {
         let now = shared.now();
@@ -324,17 +333,17 @@
 fn upkeep(shared: &Shared) {
     let now = shared.now();
     for (server, loss) in shared.losses.borrow_mut().expire(now) {
-        tracing::info!(content = %loss.content, %server, "not known whether the server ended");
+        tracing::info!(content = %loss.content, %server, "cannot tell whether the server crashed");
     }
     for content in shared.quarantine.borrow_mut().expire(now) {
-        tracing::info!(%content, "content forgotten");
+        tracing::info!(%content, "suspicion of a request expired");
     }
     let (suspects, proved) = shared.quarantine.borrow().counts();
     shared.metrics.gauge("gateway.quarantine.suspects", suspects as u64);
     shared.metrics.gauge("gateway.quarantine.contents", proved as u64);
 }
 
-/// Asks a server for a sign of life.
+/// Checks whether a server is alive.
 async fn ask(shared: Rc<Shared>, id: ServerId, addr: SocketAddr) {
     if said::rests(&shared, &id) {
         return;
@@ -348,7 +357,7 @@
         Ok(Reached::Broken) | Err(_) => Found::Silence,
     };
     let ended = shared.losses.borrow_mut().found(&id, found);
-    tracing::info!(server = %id, ?found, ended, "sign of life asked for");
+    tracing::info!(server = %id, ?found, ended, "liveness of a backend server checked");
     shared.metrics.count("gateway.quarantine.asked", 1);
     if found == Found::Alive {
         note_alive(&shared, &id, sent);
@@ -358,19 +367,19 @@
     }
 }
 
-/// Is there something of a content that the store should keep?
+/// Should the store keep a record of this request?
 fn is_kept(shared: &Shared, content: &Content) -> bool {
     is_proved(shared, content) || shared.quarantine.borrow().is_close(content)
 }
 
-/// Writes a proved content to the store, or one that is close to it, for as long as it is; another gateway
-/// may have done so.
+/// Writes the record of a confirmed request, or of one close to that, to the store; repeated on
+/// failure while the request stays so. On a conflict another gateway has written it.
 async fn write(shared: Rc<Shared>, content: Content) {
     let mut pause = WRITE_PAUSE;
     while is_kept(&shared, &content) {
         match try_write(&shared, content).await {
             Ok(()) | Err(StoreError::Conflict) => return,
-            Err(e) => tracing::info!(%content, error = %e, "proof not written"),
+            Err(e) => tracing::info!(%content, error = %e, "quarantine record not written"),
         }
         compio::time::sleep(pause.mul_f64(0.5 + shared.draw())).await;
         pause = (pause * 2).min(WRITE_PAUSE_MAX);
@@ -397,7 +406,7 @@
     written.map(drop)
 }
 
-/// Takes proved contents, and those that are close to it, from the store.
+/// Applies the store's records of confirmed requests and of those close to it.
 pub struct ProofSink(pub Rc<Shared>);
 
 impl Sink for ProofSink {
@@ -420,7 +429,7 @@
             Ok(_) => Fact::Proved,
             Err(e) => {
                 let revision = item.revision;
-                return tracing::warn!(key = item.key, revision, error = %e, "proof unread");
+                return tracing::warn!(key = item.key, revision, error = %e, "invalid quarantine record");
             }
         };
         if fact == Fact::Proved && is_proved(&self.0, &content) {
@@ -433,7 +442,7 @@
 impl ProofSink {
     fn suspect(&self, content: Content, value: &[u8]) {
         let Ok(record) = serde_json::from_slice::<Record>(value) else {
-            return tracing::warn!(%content, "suspect unread");
+            return tracing::warn!(%content, "invalid record of a suspected request");
         };
         for (server, early, at) in record.endings {
             let age = self.0.now().since(at).as_millis() as u64;
--- a/crates/daemon/src/gateway/quota.rs
+++ b/crates/daemon/src/gateway/quota.rs
@@ -1,7 +1,9 @@
-//! Bounds that all gateways share: what is taken of them here, and what this gateway lends to others.
+//! Quotas and rate limits that all gateways share: tokens acquired here, and tokens granted to
+//! peers by this gateway as an owner.
 //!
-//! Decisions are in `ebonyloft_router::quota`; here are the questions to a bound's home and their answers,
-//! by datagram. Client accounts' quotas are charged here too; backend servers' limits in `limits`.
+//! Decisions are made in `ebonyloft_router::quota`; this module exchanges the datagrams between
+//! gateways and owners. Client accounts' quotas are charged here too; backend servers' limits are
+//! in `limits`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -26,20 +28,22 @@
 use super::limits;
 use super::shared::{Basis, Shared};
 
-/// Longest wait for a home's answer: some ten times the way there and back.
+/// Longest wait for an owner's answer: about ten times the round trip.
 const ASK_WAIT: Duration = Duration::from_millis(40);
-/// Shortest time after which a caller is asked to come back; the least that can be told.
+/// Shortest retry-after time, the least that the header can express.
 const BACK_MIN: Duration = Duration::from_millis(10);
-/// Times that a home is asked for one request: one datagram in fifty may be lost.
+/// How often an owner is asked for one request: one datagram in fifty may be lost.
 const ASKS_MAX: usize = 3;
-/// How long a home that did not answer is passed over.
+/// How long an owner that did not answer is skipped.
 const SILENT_REST: Duration = Duration::from_millis(1_000);
-/// What lapses within this time is brought back: until the next round of upkeep, and the way.
+/// Tokens that expire within this time are returned to the owner: it covers the time until the next
+/// upkeep round, and the transfer.
 const LAPSES: Duration = Duration::from_millis(300);
-/// When a caller should come back whose account's home does not answer: another one lends by then.
+/// Mean retry-after time if the account's owner does not answer: by then another gateway owns the
+/// quota.
 const HOME_LOST: Duration = Duration::from_millis(700);
 
-/// What a request took of its account's quota.
+/// Tokens that a request took from its account's quota.
 #[derive(Debug)]
 pub struct Charge {
     key: Key,
@@ -47,7 +51,7 @@
 }
 
 impl Charge {
-    /// The request is over; what did not run is given back.
+    /// Ends the charge; the tokens of a request that did not run are given back.
     pub fn close(self, shared: &Shared, ran: bool) {
         if !ran {
             shared.borrower.borrow_mut().give_back(shared.now(), &self.key, self.tokens);
@@ -63,22 +67,22 @@
 }
 
 impl Refused {
-    /// The caller's answer: it has not run.
+    /// The caller's answer, which says that the request did not run.
     pub fn response(self, now: Timestamp) -> Response<Body> {
         answer::refusal(self.cause, Verdict::NotRun, Some(self.back_at.since(now).max(BACK_MIN)))
     }
 }
 
-/// Why nothing was taken of a bound.
+/// Why no tokens were acquired.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Short {
-    /// It is used up; when to come back.
+    /// The quota or limit is used up until this time.
     Over(Timestamp),
-    /// Nobody who lends it answers.
+    /// No gateway that grants it answers.
     Unknown,
 }
 
-/// Takes what a request weighs, here or from the account's home.
+/// Charges a request's cost to its account's quota, from tokens held here or from the owner.
 pub async fn charge(shared: &Shared, intake: &Intake) -> Result<Option<Charge>, Refused> {
     let (Some(account), tokens @ 1..) = (intake.account.clone(), intake.weight) else {
         return Ok(None);
@@ -94,8 +98,8 @@
     }
 }
 
-/// Takes so much of a bound, here or from its home, which is asked so often at most and told a server's
-/// limit.
+/// Acquires `need` tokens, from those held here or from the owner. The owner is asked at most
+/// `attempts` times and is told a server's limit.
 pub async fn take(
     shared: &Shared,
     key: &Key,
@@ -107,7 +111,8 @@
         return Ok(());
     }
     let mut unanswered = 0;
-    // Asked again under the same number, a home whose answer was lost lends nothing more.
+    // Every attempt has the same number, so that an owner whose answer was lost grants nothing
+    // more.
     let more = shared.borrower.borrow().more(key);
     let ask = Ask { number: shared.draw_number(), key: key.clone(), need, more, limit };
     let asked = shared.now();
@@ -164,7 +169,7 @@
     Refused { cause, back_at }
 }
 
-/// Puts a question to the bound's home, which may be this gateway.
+/// Sends a request for tokens to the owner, which may be this gateway.
 async fn put(shared: &Shared, ask: &Ask) -> Option<Reply> {
     let home = home(shared, &ask.key)?;
     if home == shared.node().name {
@@ -179,28 +184,29 @@
     reply.ok()?.ok()
 }
 
-/// A home did not answer several times, which lost datagrams alone hardly explain.
+/// Skips an owner that did not answer several times, which lost datagrams alone hardly explain.
 fn pass_over(shared: &Shared, key: &Key, home: &str) {
-    tracing::info!(?key, home, "home of a shared bound does not answer");
+    tracing::info!(?key, home, "owner of a quota or limit does not answer");
     let until = shared.now().after(SILENT_REST);
     shared.silent.borrow_mut().insert(gateway_number(home), until);
 }
 
-/// A peer asks for a part of a bound.
+/// Answers a peer's request for tokens.
 pub fn serve(shared: &Shared, from: SocketAddr, ask: &Ask) {
     let reply = lend(shared, ask);
     shared.post(from, News::Answer(Answer { number: ask.number, reply }));
 }
 
-/// A home answered.
+/// Hands an owner's answer to the request that waits for it.
 pub fn hear(shared: &Shared, answer: Answer) {
     if let Some(sender) = shared.asked.borrow_mut().remove(&answer.number) {
-        // Who asked may have gone meanwhile; what was lent lapses.
+        // The waiting request may have ended by now; its tokens expire.
         let _ = sender.send(answer.reply);
     }
 }
 
-/// Brings back what lapses unused; lost on the way, it is lent to nobody.
+/// Returns tokens that would expire unused. If the datagram is lost, they are granted to no
+/// gateway.
 fn bring_back(shared: &Shared, key: &Key, tokens: u64) {
     let Some(home) = home(shared, key) else {
         return;
@@ -213,7 +219,7 @@
     }
 }
 
-/// A peer brings back what it did not use.
+/// Takes back tokens that a peer did not use.
 pub fn take_back(shared: &Shared, key: &Key, tokens: u64) {
     if let Some(bound) = bound(shared, key, None) {
         let part = part(shared, key, &bound);
@@ -247,13 +253,14 @@
             burst = bound.burst,
             ?reply,
             config,
-            "not lent"
+            "tokens not granted"
         ),
     }
     reply
 }
 
-/// A bound as it is known here; of a server's limit the stricter of what is known and what was told.
+/// The rate of a quota or limit; for a server's limit, the stricter of the known and the reported
+/// one.
 fn bound(shared: &Shared, key: &Key, told: Option<Limit>) -> Option<Rate> {
     match key {
         Key::Account(account) => Some(quota(shared, account)?.bound),
@@ -264,7 +271,7 @@
     }
 }
 
-/// How far a bound may be passed.
+/// How far a quota or limit may be exceeded.
 fn excess(shared: &Shared, key: &Key) -> Excess {
     match key {
         Key::Account(_) => shared.node().bounds.excess,
@@ -278,7 +285,7 @@
     account.quota
 }
 
-/// Whose bound this gateway may ask, by whom it hears itself.
+/// The owner to ask, among the gateways that this one receives messages from.
 fn home(shared: &Shared, key: &Key) -> Option<String> {
     let fleet = shared.fleet.borrow();
     let mut missing = missing(shared);
@@ -289,13 +296,13 @@
     shared.homes.borrow_mut().home(&fleet, key, &missing)
 }
 
-/// The part of a bound that is lent here.
+/// The share of a quota or limit that this gateway grants.
 fn part(shared: &Shared, key: &Key, bound: &Rate) -> f64 {
     let (now, node, fleet) = (shared.now(), shared.node(), shared.fleet.borrow());
     let mut homes = shared.homes.borrow_mut();
     if shared.scope() == Scope::Zone {
-        // Gateways of other zones are not heard: who ranks first lends all, and its deputy what is tolerated
-        // beyond that.
+        // Gateways of other zones are not observed here: the first in rank grants everything, and
+        // its standby the tolerated excess.
         let ranked = homes.ranked(&fleet, key);
         return match ranked.iter().position(|name| *name == node.name) {
             Some(0) => 1.0,
@@ -309,7 +316,7 @@
     homes.part(&fleet, key, &node.name, &votes)
 }
 
-/// Gateways that this one misses.
+/// Gateways that this one receives no messages from.
 pub fn missing(shared: &Shared) -> Missing {
     let (node, fleet) = (shared.node(), shared.fleet.borrow());
     match shared.scope() {
@@ -318,7 +325,8 @@
     }
 }
 
-/// Upkeep: bounds that have another home are dropped, and what nobody asks for.
+/// Upkeep: returns unused tokens, and drops quotas and limits that another gateway owns or that are
+/// no longer used.
 pub fn expire(shared: &Shared) {
     let now = shared.now();
     let unused = shared.borrower.borrow_mut().unused(now, LAPSES);
@@ -331,7 +339,7 @@
     shared.silent.borrow_mut().retain(|_, until| *until > now);
 }
 
-/// What is heard of other gateways, and this one's own view.
+/// Unreachable gateways as reported by each peer, with this gateway's own view.
 struct Heard<'a> {
     now: Timestamp,
     name: &'a str,
--- a/crates/daemon/src/gateway/retries.rs
+++ b/crates/daemon/src/gateway/retries.rs
@@ -1,19 +1,19 @@
-//! Extra arrivals of requests at their service, within the budget that all gateways share.
+//! Retries of requests, within the retry budget that all gateways share.
 //!
-//! Decisions are in `ebonyloft_router::budget`.
+//! Decisions are made in `ebonyloft_router::budget`.
 
 use ebonyloft_router::budget::{Arrivals, Next};
 
 use super::intake::Intake;
 use super::shared::Shared;
 
-/// A request begins: its service's budget grows.
+/// Starts a request, which adds to its service's budget.
 pub fn begin(shared: &Shared, intake: &Intake) {
     let (now, node) = (shared.now(), shared.node());
     shared.budget(&intake.service).earn(now, &node.bounds);
 }
 
-/// Holds what the next send may cost; false when the budget has too little left.
+/// Reserves what the next send may cost; false if too little of the budget is left.
 pub fn afford(shared: &Shared, intake: &Intake, next: Next) -> bool {
     let mut arrivals = intake.arrivals.get();
     let Some(lack) = arrivals.lacks(next) else {
@@ -30,7 +30,7 @@
     if !granted || arrivals.count() > 0 {
         tracing::info!(
             id = intake.id(), service = %intake.service, ?next, arrivals = arrivals.count(), ?lack,
-            granted, requests, extras, held, entries, "extra arrival"
+            granted, requests, extras, held, entries, "retry budget checked"
         );
         let counter = if granted { "gateway.extra.granted" } else { "gateway.extra.refused" };
         shared.metrics.count(counter, 1);
@@ -38,21 +38,21 @@
     granted
 }
 
-/// A send leaves.
+/// Commits the reserved budget as a request is sent.
 pub fn sent(shared: &Shared, intake: &Intake) {
     if change(intake, Arrivals::send) {
         shared.budget(&intake.service).spend(shared.now());
     }
 }
 
-/// It reached nobody after all.
+/// Undoes the commit of a send that reached no server.
 pub fn unsent(shared: &Shared, intake: &Intake) {
     if change(intake, Arrivals::unsend) {
         shared.budget(&intake.service).take_back();
     }
 }
 
-/// An engine accepted the prompt.
+/// Handles a prompt that an engine accepted; budget that is no longer needed is released.
 pub fn accepted(shared: &Shared, intake: &Intake) {
     if change(intake, Arrivals::accept) {
         shared.budget(&intake.service).take_back();
@@ -61,7 +61,7 @@
     shared.budget(&intake.service).release(spare);
 }
 
-/// The request is over.
+/// Ends a request and releases what it still has reserved.
 pub fn close(shared: &Shared, intake: &Intake) {
     let held = intake.arrivals.take().close();
     shared.budget(&intake.service).release(held);
--- a/crates/daemon/src/gateway/said.rs
+++ b/crates/daemon/src/gateway/said.rs
@@ -1,7 +1,8 @@
-//! What backend servers say with their answers beside the status, whatever was asked.
+//! What backend servers announce in the head of any answer: that they are leaving, a limit or a
+//! pause.
 //!
-//! An answer is the freshest news there is of the server that gave it. Who says that it leaves is sent
-//! nothing more from here, also while the store is silent, and all gateways are told.
+//! An answer is the most recent information about its server. A server that announces its leaving
+//! is sent nothing more by this gateway, even while the store is silent, and all gateways are told.
 
 use std::time::Duration;
 
@@ -18,7 +19,7 @@
 use super::quarantine;
 use super::shared::{Basis, Shared};
 
-/// Takes what the head of an answer says of the server that was sent something at `sent`.
+/// Applies the announcements in the head of an answer to something sent at `sent`.
 pub fn note(shared: &Shared, to: &ServerId, sent: Timestamp, reply: &Reply) {
     if reply.leaving
         && let Some(id) = speaker(shared, to, reply)
@@ -32,23 +33,24 @@
         let now = shared.now();
         let (until, as_said) = shared.pauses.borrow_mut().note(now, to, pause);
         let ms = until.since(now).as_millis() as u64;
-        tracing::info!(server = %to, ms, ?pause, as_said, "backend server wants nothing for a while");
+        tracing::info!(server = %to, ms, ?pause, as_said, "backend server asked for a pause");
         shared.metrics.count("gateway.paused", 1);
     }
 }
 
-/// Does a backend server want nothing now, or nothing more for a while?
+/// Is a backend server paused, or its limit used up?
 pub fn rests(shared: &Shared, id: &ServerId) -> bool {
     rests_until(shared, id).is_some()
 }
 
-/// Until when it does.
+/// Until when the server is paused or its limit used up.
 fn rests_until(shared: &Shared, id: &ServerId) -> Option<Timestamp> {
     let paused = shared.pauses.borrow().until(shared.now(), id);
     paused.max(limits::used_up(shared, id))
 }
 
-/// When the first of these servers takes something again; none when one does now, or there is none.
+/// When the first of these servers is available again; `None` if one is available now, or if there
+/// are none.
 pub fn soonest<'a>(
     shared: &Shared,
     servers: impl Iterator<Item = &'a Server>,
@@ -56,13 +58,14 @@
     pauses::soonest(servers.map(|s| rests_until(shared, &s.id)))
 }
 
-/// May a backend server still be sent what was taken of its limit? Asked again right before each send.
+/// May a server be sent a request for which its limit was already acquired? Checked right before
+/// each send.
 pub fn takes(shared: &Shared, id: &ServerId) -> bool {
     let paused = shared.pauses.borrow().until(shared.now(), id).is_some();
     !shared.roster.borrow().has_left(&id.name) && !paused
 }
 
-/// The life that answered: the one that was meant, unless it says that it is another one.
+/// The incarnation that answered: the one addressed, unless the answer names another.
 fn speaker(shared: &Shared, to: &ServerId, reply: &Reply) -> Option<ServerId> {
     match &reply.instance {
         Some(name) if *name != to.name => {
@@ -73,13 +76,13 @@
     }
 }
 
-/// A life of a server leaves, by its own word or a peer's word of that.
+/// Handles the announcement, by an answer or by a peer, that an incarnation of a server is leaving.
 pub fn leaving(shared: &Shared, id: &ServerId, from: &str) {
     if !shared.roster.borrow_mut().hear_leaving(id) {
         return;
     }
     let Basis { roster, age, .. } = shared.basis();
-    tracing::info!(server = %id, from, roster, age, "backend server says that it leaves");
+    tracing::info!(server = %id, from, roster, age, "backend server announced that it is leaving");
     shared.metrics.count("gateway.left_by_answer", 1);
     if from == "answer" {
         shared.notes.borrow_mut().leaving.push(id.clone());
@@ -89,8 +92,8 @@
     shared.line_waiters.wake_all();
 }
 
-/// A call to a backend server that is not a caller's request; none is made to one that leaves or wants
-/// nothing.
+/// Calls a backend server for the gateway itself rather than for a caller. A server that is leaving
+/// or paused is not called.
 pub async fn call(
     shared: &Shared,
     to: &Server,
@@ -98,7 +101,7 @@
     limit: Duration,
 ) -> Result<(StatusCode, Bytes), ExchangeError> {
     if !takes(shared, &to.id) {
-        tracing::info!(server = %to.id, "not asked: the backend server leaves, or wants nothing");
+        tracing::info!(server = %to.id, "not called: the backend server is leaving or paused");
         return Err(ExchangeError::Unsent);
     }
     let sent = shared.now();
--- a/crates/daemon/src/gateway/send.rs
+++ b/crates/daemon/src/gateway/send.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one backend server, and what came of it.
+//! One attempt at a backend server: sends a request and determines the outcome.
 
 use std::time::Duration;
 
@@ -18,25 +18,25 @@
 use super::said;
 use super::shared::Shared;
 
-/// The head of an answer, and the connection that its body comes on.
+/// The head of an answer, and the connection that its body arrives on.
 pub struct Head {
-    /// What the head says.
+    /// What its status and headers say.
     pub reply: Reply,
-    /// The answer, its body unread.
+    /// The answer, with its body unread.
     pub response: Response<Incoming>,
-    /// Carries the body; dropped, it ends the work at the backend server.
+    /// Carries the body; dropping it cancels the work at the backend server.
     pub conn: Conn,
 }
 
-/// An answer read whole.
+/// A complete answer.
 pub struct Whole {
     /// HTTP status.
     pub status: StatusCode,
-    /// Headers that the caller gets.
+    /// Headers that are returned to the caller.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// What the head says.
+    /// What its status and headers say.
     pub reply: Reply,
 }
 
@@ -48,24 +48,25 @@
     req: Request<Bytes>,
     expect: Expect,
 ) -> Result<Head, Fate> {
-    // What may run once must not meet a connection that the other end is just closing.
+    // A request that may run only once must not use a connection that the server may just be
+    // closing.
     let idle_max = match intake.route().kind {
         Kind::Once => IDLE_MAX_ONCE,
         _ if intake.is_repeatable() => IDLE_MAX,
         _ => IDLE_MAX_ONCE,
     };
     let mut conn = shared.pool.take(to.addr, idle_max).await.map_err(fate)?;
-    // It may have left while the request waited: for its prompt to be read, in another zone, or for this
-    // connection.
+    // The server may have announced that it is leaving while the request waited for its prefill,
+    // for another zone or for this connection.
     if !said::takes(shared, &to.id) {
         tracing::info!(
-            id = intake.id(), server = %to.id, "not sent: the backend server leaves, or wants nothing"
+            id = intake.id(), server = %to.id, "not sent: the backend server is leaving or paused"
         );
         shared.pool.give(conn);
         return Err(Fate::Unsent);
     }
     if quarantine::is_proved(shared, &intake.content) {
-        tracing::info!(id = intake.id(), content = %intake.content, server = %to.id, "not sent: proved");
+        tracing::info!(id = intake.id(), content = %intake.content, server = %to.id, "not sent: confirmed to crash servers");
         shared.pool.give(conn);
         return Err(Fate::Unsent);
     }
@@ -74,7 +75,8 @@
         return Err(Fate::Unsent);
     }
     let sent = shared.now();
-    // It counts as run from here on, also if its caller leaves before anything else is known.
+    // The request counts as run from here on, even if its caller disconnects before the outcome is
+    // known.
     let ran = intake.ran.replace(intake.ran.get() || expect == Expect::Signature);
     retries::sent(shared, intake);
     let response = match conn.exchange(req).await {
@@ -99,16 +101,16 @@
     Ok(Head { reply, response, conn })
 }
 
-/// What a whole answer must carry.
+/// Which mark a complete answer must carry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Expect {
-    /// The backend server's signature: it is meant for the caller.
+    /// The backend server's signature: the answer is for the caller.
     Signature,
-    /// The handle of a prompt that was read; it is meant for this process and not signed.
+    /// The handle of a prefilled prompt: the answer is for the gateway and not signed.
     Handle,
 }
 
-/// Sends a request and reads its answer whole, within `limit`.
+/// Sends a request and reads its complete answer within `limit`.
 pub async fn whole(
     shared: &Shared,
     intake: &Intake,
@@ -125,7 +127,7 @@
         let (status, headers) = (response.status(), headers::returned(response.headers()));
         let body = match response.into_body().collect().await {
             Ok(body) => body.to_bytes(),
-            // A rejection is known from its head.
+            // A rejection is known from its head alone.
             Err(_) if fate == Fate::Rejected || fate == Fate::Moved => Bytes::new(),
             Err(_) => return Err(Fate::Lost),
         };
--- a/crates/daemon/src/gateway/uploads.rs
+++ b/crates/daemon/src/gateway/uploads.rs
@@ -1,4 +1,4 @@
-//! Configurations that are on their way to peers, as many at a time as the link carries.
+//! Limits how many peers are sent the configuration at a time, by the rate of the link.
 
 use std::cell::RefCell;
 use std::sync::{Arc, Weak};
@@ -10,35 +10,35 @@
 use super::pool::BODY_WAIT;
 use crate::http;
 
-/// Megabits a second that each configuration under way should have: what the weakest VMs take in. A VM of
-/// 10 Mbit/s that sent one to seven peers at once could not connect to any backend server for three
-/// seconds.
+/// Mbit/s of the link that each upload should have: the download rate of the weakest VMs. A VM with
+/// a link of 10 Mbit/s that sent to one to seven peers at once could not connect to any backend
+/// server for three seconds.
 const EACH: u32 = 10;
-/// Most configurations under way over a link whose rate is not known.
+/// Most concurrent uploads over a link of unknown rate.
 const UNKNOWN: usize = 4;
 /// Bytes handed to a connection at a time.
 const PART: usize = 16 << 10;
 
-/// Counts those under way.
+/// Counts the uploads under way.
 #[derive(Debug, Default)]
 pub struct Uploads {
     open: RefCell<Vec<Open>>,
 }
 
-/// One under way, and until when it counts at the most.
+/// An upload under way, and when it stops counting at the latest.
 #[derive(Debug)]
 struct Open {
     upload: Weak<()>,
     until: Timestamp,
 }
 
-/// Leave to send one.
+/// Permission for one upload.
 pub struct Upload {
     _counts: Arc<()>,
 }
 
 impl Uploads {
-    /// Leave to send one more over a link of so many megabits a second, if it carries that.
+    /// Permission for one more upload over a link of so many Mbit/s, if the link can carry it.
     pub fn begin(&self, now: Timestamp, link: u32) -> Option<Upload> {
         let most = match link {
             0 => UNKNOWN,
@@ -50,14 +50,14 @@
             return None;
         }
         let counts = Arc::new(());
-        // Beyond that its reader has given up, though a silent connection does not say so.
+        // By then the peer has given up, though a silent connection does not show it.
         open.push(Open { upload: Arc::downgrade(&counts), until: now.after(BODY_WAIT) });
         Some(Upload { _counts: counts })
     }
 }
 
 impl Upload {
-    /// A body of these bytes; it counts as under way until the last of them is handed to the connection.
+    /// A body of these bytes; the upload counts until the last of them is handed to the connection.
     pub fn body(self, bytes: Bytes) -> http::Body {
         let parts = stream::unfold((self, bytes), |(upload, mut left)| async move {
             let part = left.split_to(left.len().min(PART));
