--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -53,13 +53,13 @@
 
 /// Shortest time between the stop signal and the exit: the platform notices after two readiness
 /// checks, one a second; the rest is a margin.
-const LINGER: Duration = Duration::from_millis(3_000);
+const MIN_SHUTDOWN: Duration = Duration::from_millis(3_000);
 /// Time before the end of the grace period at which the remaining streams are cut off.
-const LAST_MARGIN: Duration = Duration::from_millis(300);
+const CUTOFF_MARGIN: Duration = Duration::from_millis(300);
 /// Interval between checks for open requests while stopping.
-const STOP_LOOK: Duration = Duration::from_millis(50);
+const STOP_POLL: Duration = Duration::from_millis(50);
 /// Interval between upkeep rounds.
-const UPKEEP: Duration = Duration::from_millis(250);
+const UPKEEP_INTERVAL: Duration = Duration::from_millis(250);
 /// Upkeep rounds between two reads of the settings file.
 const RELOAD_ROUNDS: u64 = 8;
 
@@ -89,26 +89,26 @@
     let shared = Shared::new(node, clock, rng, metrics, digester);
     let node = shared.node();
     let (close, closing) = oneshot::channel();
-    start(&shared, &node, &options, registry, closing.shared(), hup).await?;
+    start_tasks(&shared, &node, &options, registry, closing.shared(), hup).await?;
     tracing::info!(name = %node.name, zone = %node.zone, version = env!("CARGO_PKG_VERSION"), "started");
     stop.await;
     let asked = shared.now();
     shared.stopping.set(Some(asked));
     tracing::info!(open = shared.open.get(), "stopping");
-    compio::time::sleep(LINGER).await;
-    let end = asked.after(node.bounds.grace).before(LAST_MARGIN);
+    compio::time::sleep(MIN_SHUTDOWN).await;
+    let end = asked.after(node.bounds.grace).before(CUTOFF_MARGIN);
     while shared.open.get() > 0 && shared.now() < end {
-        compio::time::sleep(STOP_LOOK).await;
+        compio::time::sleep(STOP_POLL).await;
     }
     // Callers were accepted until now, since other gateways may be stopping too. Idle connections
     // are closed first, the others after their answers.
     let _ = close.send(());
-    compio::time::sleep(STOP_LOOK).await;
+    compio::time::sleep(STOP_POLL).await;
     tracing::info!(open = shared.open.get(), "stopped");
     Ok(())
 }
 
-async fn start(
+async fn start_tasks(
     shared: &Rc<Shared>,
     node: &Node,
     options: &Options,
@@ -124,10 +124,10 @@
     if let Some(addr) = node.ready {
         let ready = TcpListener::bind(addr).await?;
         let me = shared.clone();
-        spawn(http::serve(ready, move |req| readiness(me.clone(), req), never()));
+        spawn(http::serve(ready, move |req| readiness(me.clone(), req), never_closing()));
     }
     let page = TcpListener::bind((node.ip, options.metrics_port)).await?;
-    spawn(http::serve(page, move |_| metrics_page(registry.clone()), never()));
+    spawn(http::serve(page, move |_| metrics_page(registry.clone()), never_closing()));
     spawn(ingress::serve(shared.clone(), callers, closing));
     let sink = Box::new(watch::Prefixes::new(shared));
     spawn(watch::follow(shared.clone(), watch::EVERYTHING, sink));
@@ -137,7 +137,7 @@
     spawn(peers::tell_zones(shared.clone(), socket.clone()));
     spawn(notes::tell(shared.clone(), socket.clone()));
     spawn(peers::post(shared.clone(), socket.clone()));
-    spawn(keys::keep_recent(shared.clone()));
+    spawn(keys::keep_fresh(shared.clone()));
     spawn(peers::hear(shared.clone(), socket));
     spawn(quarantine::run(shared.clone()));
     spawn(orders::run(shared.clone()));
@@ -150,7 +150,7 @@
     compio::runtime::spawn(task).detach();
 }
 
-fn never() -> Rc<Cell<bool>> {
+fn never_closing() -> Rc<Cell<bool>> {
     Rc::new(Cell::new(false))
 }
 
@@ -169,7 +169,7 @@
     let mut round = 0_u64;
     let mut logged = 0;
     loop {
-        compio::time::sleep(UPKEEP).await;
+        compio::time::sleep(UPKEEP_INTERVAL).await;
         round += 1;
         shared.judge_role();
         // The clock is read only here. A gateway that learns the store's state from peers dates its
--- a/crates/daemon/src/gateway/answer.rs
+++ b/crates/daemon/src/gateway/answer.rs
@@ -115,7 +115,7 @@
 }
 
 /// Attaches a token to the body; it is dropped once the caller has the answer or has disconnected.
-pub fn tie(response: Response<Body>, token: oneshot::Sender<()>) -> Response<Body> {
+pub fn attach_token(response: Response<Body>, token: oneshot::Sender<()>) -> Response<Body> {
     response.map(|body| {
         body.map_frame(move |frame| {
             let _held = &token;
--- a/crates/daemon/src/gateway/call.rs
+++ b/crates/daemon/src/gateway/call.rs
@@ -24,20 +24,20 @@
 
 /// Fraction of the route's goal after which an idempotent call is sent to another server; the rest
 /// is enough for a call of average length.
-pub const GIVE_UP_PART: f64 = 0.7;
+pub const GIVE_UP_FRACTION: f64 = 0.7;
 /// Fraction of the goal after which a refused caller should retry, up to twice as much to spread
 /// the retries. With the time waited before and a call of average length after it, a retry still
 /// meets the goal.
-const RETRY_PART: f64 = 0.25;
+const RETRY_AFTER_FRACTION: f64 = 0.25;
 
 /// State of a call: the send under way, or the ticket in the admission queue.
 #[derive(Default)]
-struct Flight {
+struct InFlight {
     open: Option<(Server, Timestamp)>,
     ticket: Option<Ticket>,
 }
 
-impl Flight {
+impl InFlight {
     /// Ends what is open when the caller has disconnected. The send's connection is already closed,
     /// and its duration says nothing about the server.
     fn close(self, shared: &Shared, intake: &Intake) {
@@ -56,7 +56,7 @@
 }
 
 /// Waits in the admission queue; false if the call cannot meet its goal.
-async fn wait(shared: &Shared, intake: &Intake, flight: &mut Flight) -> bool {
+async fn wait_for_admission(shared: &Shared, intake: &Intake, flight: &mut InFlight) -> bool {
     let joined = shared.now();
     let ticket = shared.line(&intake.service).join(joined, intake.goal_at, intake.route().goal);
     flight.ticket = Some(ticket);
@@ -101,7 +101,7 @@
     reply: oneshot::Sender<Response<Body>>,
 ) {
     retries::begin(shared, intake);
-    let mut flight = Flight::default();
+    let mut flight = InFlight::default();
     let work = deliver(shared, intake, &mut flight);
     let answered = answer::unless_gone(gone, work).await;
     flight.close(shared, intake);
@@ -116,7 +116,7 @@
     }
 }
 
-async fn deliver(shared: &Shared, intake: &Intake, flight: &mut Flight) -> Response<Body> {
+async fn deliver(shared: &Shared, intake: &Intake, flight: &mut InFlight) -> Response<Body> {
     let mut progress = Progress::new(intake.is_repeatable(), intake.route().attempts);
     let mut tried: Vec<ServerId> = Vec::new();
     let mut last: Option<Whole> = None;
@@ -144,14 +144,14 @@
             cause = Cause::Budget;
             break;
         }
-        if let Some(at) = all_rest(shared, intake, &tried) {
+        if let Some(at) = all_paused_until(shared, intake, &tried) {
             if at >= intake.goal_at {
-                return refuse_until(shared, intake, progress.verdict(), at);
+                return refuse_paused(shared, intake, progress.verdict(), at);
             }
             compio::time::sleep(at.since(now)).await;
             continue;
         }
-        if !wait(shared, intake, flight).await {
+        if !wait_for_admission(shared, intake, flight).await {
             cause = Cause::Overload;
             break;
         }
@@ -163,7 +163,7 @@
             continue;
         }
         let now = shared.now();
-        let limit = limit(shared, intake, now, &progress, &tried);
+        let limit = send_limit(shared, intake, now, &progress, &tried);
         progress.begin();
         let (fate, answer) = send_to(shared, intake, &server, limit, flight).await;
         progress.note(fate);
@@ -173,7 +173,7 @@
         match fate {
             Fate::Answered(status) => {
                 if status < 500 {
-                    return answer.map_or_else(|| lost(&progress), deliver_whole);
+                    return answer.map_or_else(|| lost_response(&progress), complete_response);
                 }
                 last = answer;
             }
@@ -184,14 +184,14 @@
         }
     }
     if let Some(answer) = last {
-        return deliver_whole(answer);
+        return complete_response(answer);
     }
     refuse(shared, intake, cause, progress.verdict())
 }
 
 /// When the first of the untried servers is available again, if all of them are paused or at their
 /// limit.
-fn all_rest(shared: &Shared, intake: &Intake, tried: &[ServerId]) -> Option<Timestamp> {
+fn all_paused_until(shared: &Shared, intake: &Intake, tried: &[ServerId]) -> Option<Timestamp> {
     let roster = shared.roster.borrow();
     let left = roster.ready(&intake.service).filter(|s| !tried.contains(&s.id));
     said::soonest(shared, left)
@@ -211,7 +211,7 @@
 }
 
 /// Time limit of this send: all the time left if no other server can be tried.
-fn limit(
+fn send_limit(
     shared: &Shared,
     intake: &Intake,
     now: Timestamp,
@@ -223,7 +223,7 @@
     after.note(Fate::Lost);
     let others = shared.roster.borrow().ready(&intake.service).count() > tried.len() + 1;
     if after.may_send() && others {
-        return all.min(intake.route().goal.mul_f64(GIVE_UP_PART));
+        return all.min(intake.route().goal.mul_f64(GIVE_UP_FRACTION));
     }
     all
 }
@@ -233,7 +233,7 @@
     intake: &Intake,
     to: &Server,
     limit: Duration,
-    flight: &mut Flight,
+    flight: &mut InFlight,
 ) -> (Fate, Option<Whole>) {
     let sent = shared.now();
     shared.plain.borrow_mut().sent(sent, &to.id);
@@ -259,36 +259,36 @@
 
 /// Marks a server as gone after another one answered at its address.
 pub fn gone(shared: &Shared, id: &ServerId) {
-    quarantine::note_ended(shared, id, "address");
+    quarantine::on_ended(shared, id, "address");
     if shared.roster.borrow_mut().replaced(id) {
         tracing::info!(server = %id, "backend server is gone: another one answered at its address");
     }
 }
 
-fn deliver_whole(answer: Whole) -> Response<Body> {
+fn complete_response(answer: Whole) -> Response<Body> {
     answer::whole(answer.status, answer.headers, answer.body)
 }
 
-fn lost(progress: &Progress) -> Response<Body> {
+fn lost_response(progress: &Progress) -> Response<Body> {
     answer::refusal(Cause::Lost, progress.verdict(), None)
 }
 
 fn refuse(shared: &Shared, intake: &Intake, cause: Cause, verdict: Verdict) -> Response<Body> {
-    let retry = intake.route().goal.mul_f64(RETRY_PART * (1.0 + shared.draw()));
-    refuse_for(shared, intake, cause, verdict, retry)
+    let retry = intake.route().goal.mul_f64(RETRY_AFTER_FRACTION * (1.0 + shared.draw()));
+    refuse_with_retry(shared, intake, cause, verdict, retry)
 }
 
 /// Refuses a call because all servers are paused or at their limit until after the caller's goal.
-fn refuse_until(
+fn refuse_paused(
     shared: &Shared,
     intake: &Intake,
     verdict: Verdict,
     at: Timestamp,
 ) -> Response<Body> {
-    refuse_for(shared, intake, Cause::Overload, verdict, at.since(shared.now()))
+    refuse_with_retry(shared, intake, Cause::Overload, verdict, at.since(shared.now()))
 }
 
-fn refuse_for(
+fn refuse_with_retry(
     shared: &Shared,
     intake: &Intake,
     cause: Cause,
--- a/crates/daemon/src/gateway/ingress.rs
+++ b/crates/daemon/src/gateway/ingress.rs
@@ -40,10 +40,10 @@
 
 /// How long streams are accepted after the stop signal. The platform sends callers elsewhere after
 /// two readiness checks, one a second; a stream accepted by then has most of the grace period left.
-const STREAMS_TAKEN: Duration = Duration::from_millis(2_800);
+const STREAMS_ACCEPTED: Duration = Duration::from_millis(2_800);
 /// Time left of the grace period below which short calls are refused: the longest of their
 /// deadlines.
-const CALLS_LEFT: Duration = Duration::from_millis(1_500);
+const CALLS_TIME_LEFT: Duration = Duration::from_millis(1_500);
 
 /// Resolves when callers' connections must be closed.
 pub type Closing = SharedFuture<oneshot::Receiver<()>>;
@@ -61,7 +61,7 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                let task = connection(shared.clone(), stream, closing.clone());
+                let task = handle_connection(shared.clone(), stream, closing.clone());
                 compio::runtime::spawn(task).detach();
             }
             Err(e) => {
@@ -72,7 +72,7 @@
     }
 }
 
-async fn connection(shared: Rc<Shared>, stream: TcpStream, closing: Closing) {
+async fn handle_connection(shared: Rc<Shared>, stream: TcpStream, closing: Closing) {
     // Without it small answers wait for acknowledgements; a failure to set it is harmless.
     let _ = stream.set_nodelay(true);
     let limits = shared.config().map_or_else(Limits::default, |c| c.limits.clone());
@@ -106,8 +106,8 @@
     // A content length that contradicts the chunks may hide a second request in the body (request
     // smuggling), so the connection is closed after the answer.
     let chunked = req.headers().contains_key(TRANSFER_ENCODING);
-    let mut response = match read(&shared, req, came_at).await {
-        Ok(intake) => work(&shared, intake).await,
+    let mut response = match read_request(&shared, req, came_at).await {
+        Ok(intake) => process(&shared, intake).await,
         Err(refused) => refused,
     };
     if chunked || shared.is_stopping() {
@@ -117,7 +117,7 @@
 }
 
 /// Reads a complete request and finds its route.
-async fn read(
+async fn read_request(
     shared: &Rc<Shared>,
     req: Request<Incoming>,
     came_at: Timestamp,
@@ -150,16 +150,17 @@
     let (Some(host), None) = (host, hosts.next()) else {
         return Err(refuse(Cause::Malformed));
     };
-    let Some(route) = routes::find(&config, host, req.uri().path()).map(|r| position(&config, r))
+    let Some(route) =
+        routes::find(&config, host, req.uri().path()).map(|r| route_index(&config, r))
     else {
         return Err(refuse(Cause::NoRoute));
     };
-    let (account, weight) = match admit(shared, &config, route, &caller) {
+    let (account, weight) = match account_and_cost(shared, &config, route, &caller) {
         Ok(admitted) => admitted,
         Err(cause) => return Err(refuse(cause)),
     };
     if let Some(asked) = shared.stopping.get()
-        && !may_end(shared, asked, came_at, config.routes[route].kind)
+        && !can_finish(shared, asked, came_at, config.routes[route].kind)
     {
         return Err(refuse(Cause::Stopping));
     }
@@ -175,15 +176,15 @@
     };
     let sender = account.as_ref().map_or("", Account::as_str);
     let content = shared.digester.content(sender, &parts.method, &host, &parts.uri, &body);
-    let times = times(shared, came_at, &config.routes[route], &caller);
+    let times = time_bounds(shared, came_at, &config.routes[route], &caller);
     let target = Target { config, route, service };
-    let mut intake = intake(times, target, parts, body, caller, content);
+    let mut intake = build_intake(times, target, parts, body, caller, content);
     (intake.account, intake.weight) = (account, weight);
     Ok(intake)
 }
 
 /// The account of a request, and the request's cost against the account's quota.
-fn admit(
+fn account_and_cost(
     shared: &Shared,
     config: &Config,
     route: usize,
@@ -215,17 +216,17 @@
 }
 
 /// Can a request that arrives now finish before the process exits?
-fn may_end(shared: &Shared, asked: Timestamp, now: Timestamp, kind: Kind) -> bool {
+fn can_finish(shared: &Shared, asked: Timestamp, now: Timestamp, kind: Kind) -> bool {
     match kind {
-        Kind::Stream => now < asked.after(STREAMS_TAKEN),
+        Kind::Stream => now < asked.after(STREAMS_ACCEPTED),
         Kind::Idempotent | Kind::Once => {
-            now < asked.after(shared.node().bounds.grace).before(CALLS_LEFT)
+            now < asked.after(shared.node().bounds.grace).before(CALLS_TIME_LEFT)
         }
     }
 }
 
 /// Timestamps that bound a request.
-struct Times {
+struct TimeBounds {
     came_at: Timestamp,
     ends_at: Timestamp,
     goal_at: Timestamp,
@@ -238,26 +239,31 @@
     service: String,
 }
 
-fn times(shared: &Shared, came_at: Timestamp, route: &Route, caller: &headers::Caller) -> Times {
+fn time_bounds(
+    shared: &Shared,
+    came_at: Timestamp,
+    route: &Route,
+    caller: &headers::Caller,
+) -> TimeBounds {
     let patience = caller.patience.unwrap_or(route.timeout);
     let mut deadlines = shared.patience.borrow_mut();
     let spent = deadlines.spent(came_at, &route.name, route.timeout, patience);
-    Times {
+    TimeBounds {
         came_at,
         ends_at: came_at.after(patience.min(route.timeout)),
         goal_at: came_at.before(spent).after(route.goal),
     }
 }
 
-fn intake(
-    times: Times,
+fn build_intake(
+    times: TimeBounds,
     target: Target,
     parts: hyper::http::request::Parts,
     body: Bytes,
     caller: headers::Caller,
     content: Content,
 ) -> Intake {
-    let Times { came_at, ends_at, goal_at } = times;
+    let TimeBounds { came_at, ends_at, goal_at } = times;
     let Target { config, route, service } = target;
     let mut headers = headers::forwarded(&parts.headers);
     if config.accounts.is_some() {
@@ -283,7 +289,7 @@
     }
 }
 
-fn position(config: &Config, route: &Route) -> usize {
+fn route_index(config: &Config, route: &Route) -> usize {
     config.routes.iter().position(|r| std::ptr::eq(r, route)).unwrap_or(0)
 }
 
@@ -301,7 +307,7 @@
 }
 
 /// Runs a request in its own task, which outlives the caller until its state is cleaned up.
-async fn work(shared: &Rc<Shared>, intake: Intake) -> Response<Body> {
+async fn process(shared: &Rc<Shared>, intake: Intake) -> Response<Body> {
     let trial = match quarantine::admit(shared, &intake).await {
         Ok(trial) => trial,
         Err(refused) => return refused.response(shared.now()),
@@ -334,7 +340,7 @@
     })
     .detach();
     match answer.await {
-        Ok(response) => answer::tie(response, token),
+        Ok(response) => answer::attach_token(response, token),
         // The task ends without an answer only if the caller has disconnected.
         Err(_) => answer::refusal(Cause::Lost, Verdict::MayHaveRun, None),
     }
--- a/crates/daemon/src/gateway/intake.rs
+++ b/crates/daemon/src/gateway/intake.rs
@@ -16,7 +16,7 @@
 
 /// Deadlines sent to backend servers are this much earlier than the caller's, to leave time for the
 /// answer to return.
-const WAY_BACK: Duration = Duration::from_millis(8);
+const RETURN_MARGIN: Duration = Duration::from_millis(8);
 
 /// A caller's request and its route.
 pub struct Intake {
@@ -86,7 +86,7 @@
         if let Some(account) = &self.account {
             headers::set_account(headers, account);
         }
-        headers::set_patience(headers, self.ends_at.before(WAY_BACK).since(now));
+        headers::set_patience(headers, self.ends_at.before(RETURN_MARGIN).since(now));
         req
     }
 }
--- a/crates/daemon/src/gateway/keys.rs
+++ b/crates/daemon/src/gateway/keys.rs
@@ -21,10 +21,10 @@
 use super::shared::{Basis, Shared};
 
 /// Interval between checks of the configuration's age.
-const LOOK: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// An unknown key is rejected for good only if the configuration's age is below the bound for
 /// applying changes by this much; otherwise the key may have been added since.
-const UNKNOWN_SLACK: Duration = Duration::from_millis(500);
+const UNKNOWN_KEY_MARGIN: Duration = Duration::from_millis(500);
 
 /// The account of a request; `None` if the request needs none.
 pub fn identify<'a>(
@@ -36,13 +36,13 @@
     let accounts = config.accounts.as_ref();
     match accounts::identify(accounts, route.public, &caller.credential) {
         Identity::Anyone => Ok(None),
-        Identity::Account(account) if is_recent(shared) => Ok(Some(account)),
+        Identity::Account(account) if is_fresh(shared) => Ok(Some(account)),
         Identity::Account(_) if route.public => Ok(None),
         Identity::Account(_) => Err(Cause::Unconfirmed),
         Identity::Unidentified => Err(Cause::Unauthorized),
         Identity::Unknown => {
             let age = shared.recency.borrow().age(shared.now()).saturating_sub(DEAF);
-            let known = age + UNKNOWN_SLACK < shared.node().bounds.apply;
+            let known = age + UNKNOWN_KEY_MARGIN < shared.node().bounds.apply;
             Err(if known { Cause::Unauthorized } else { Cause::Unconfirmed })
         }
     }
@@ -53,7 +53,7 @@
     let Some(name) = &intake.account else {
         return Ok(());
     };
-    if !is_recent(shared) {
+    if !is_fresh(shared) {
         return Err(Cause::Unconfirmed);
     }
     let config = shared.config();
@@ -88,7 +88,7 @@
 }
 
 /// Is the configuration fresh enough for requests with keys?
-pub fn is_recent(shared: &Shared) -> bool {
+pub fn is_fresh(shared: &Shared) -> bool {
     shared.recency.borrow().holds(shared.now(), shared.node().bounds.revoke)
 }
 
@@ -100,22 +100,22 @@
 }
 
 /// Asks peers how old their configuration is while this gateway's may be stale.
-pub async fn keep_recent(shared: std::rc::Rc<Shared>) {
+pub async fn keep_fresh(shared: std::rc::Rc<Shared>) {
     let mut held = false;
     loop {
-        compio::time::sleep(LOOK).await;
+        compio::time::sleep(CHECK_INTERVAL).await;
         let Some(bound) = bound(&shared) else {
             continue;
         };
         let (now, number) = (shared.now(), shared.draw_number());
         if shared.recency.borrow_mut().ask(now, bound, number) {
-            for addr in asked(&shared) {
+            for addr in peers_to_ask(&shared) {
                 shared.post(addr, News::Age(number));
             }
         }
         let age = shared.recency.borrow().age(shared.now()).as_millis() as u64;
         shared.metrics.gauge("gateway.config_age_ms", age);
-        if is_recent(&shared) != held {
+        if is_fresh(&shared) != held {
             held = !held;
             let config = shared.basis().config;
             tracing::info!(
@@ -130,7 +130,7 @@
 
 /// Peers to ask: one that follows the store, preferably in the own availability zone; any peer if
 /// none does.
-fn asked(shared: &Shared) -> Vec<SocketAddr> {
+fn peers_to_ask(shared: &Shared) -> Vec<SocketAddr> {
     let (now, node) = (shared.now(), shared.node());
     let (fleet, shares) = (shared.fleet.borrow(), shared.shares.borrow());
     let others: Vec<_> = fleet.all().iter().filter(|(name, _)| **name != node.name).collect();
--- a/crates/daemon/src/gateway/limits.rs
+++ b/crates/daemon/src/gateway/limits.rs
@@ -11,15 +11,15 @@
 use ebonyloft_router::limits::{Limit, Named};
 use ebonyloft_router::quota::Key;
 
-use super::quota::{self, Short};
+use super::quota::{self, Shortage};
 use super::shared::{Basis, Shared};
 
 /// How long a server is skipped if no owner of its limit answers: by then another gateway owns the
 /// limit, or the next request for tokens gets through.
-const UNKNOWN_REST: Duration = Duration::from_millis(250);
+const UNKNOWN_BACKOFF: Duration = Duration::from_millis(250);
 /// Shortest time for which a server is skipped, so that a request does not spin on an owner in its
 /// own process.
-const REST_MIN: Duration = Duration::from_millis(5);
+const BACKOFF_MIN: Duration = Duration::from_millis(5);
 
 /// Acquires `need` requests of a server's limit, if it has one; false if the server must not be
 /// sent anything now.
@@ -28,11 +28,11 @@
         return true;
     };
     let key = Key::Server(id.clone());
-    let taken = quota::take(shared, &key, need, Some(limit), 1).await;
+    let taken = quota::acquire(shared, &key, need, Some(limit), 1).await;
     if let Err(short) = taken {
         let until = match short {
-            Short::Over(at) => at.max(shared.now().after(REST_MIN)),
-            Short::Unknown => shared.now().after(UNKNOWN_REST),
+            Shortage::Over(at) => at.max(shared.now().after(BACKOFF_MIN)),
+            Shortage::Unknown => shared.now().after(UNKNOWN_BACKOFF),
         };
         shared.borrower.borrow_mut().refused(&key, until, until);
         tracing::info!(server = %id, limit = limit.0, need, ?short, "backend server skipped: its limit is used up or its owner silent");
@@ -42,17 +42,17 @@
 }
 
 /// Until when a server's limit is known to be used up, if it is.
-pub fn used_up(shared: &Shared, id: &ServerId) -> Option<Timestamp> {
+pub fn used_up_until(shared: &Shared, id: &ServerId) -> Option<Timestamp> {
     shared.limits.borrow().of(id)?;
     let (until, _) = shared.borrower.borrow().over(shared.now(), &Key::Server(id.clone()))?;
     Some(until)
 }
 
 /// Handles an answer to a request sent at `sent`, which names a limit or none.
-pub fn note(shared: &Shared, id: &ServerId, sent: Timestamp, limit: Option<Limit>) {
+pub fn on_answer(shared: &Shared, id: &ServerId, sent: Timestamp, limit: Option<Limit>) {
     let news = shared.limits.borrow_mut().answered(shared.now(), id, sent, limit);
     if let Some(word) = news {
-        log(shared, &word, "answer");
+        log_change(shared, &word, "answer");
         shared.notes.borrow_mut().limits.push(word);
         shared.inquiries.wake_all();
     }
@@ -63,19 +63,19 @@
     // Ignored for a server that is already gone, since nothing would remove its limit again.
     let known = shared.roster.borrow().get(&word.server).is_some();
     if known && shared.limits.borrow_mut().hear(shared.now(), word) {
-        log(shared, word, peer);
+        log_change(shared, word, peer);
     }
 }
 
 /// Learns a server's limit from a peer's request for tokens, which may name a newer one than is
 /// known here.
-pub fn learn(shared: &Shared, key: &Key, limit: Option<Limit>) {
+pub fn learn_from_request(shared: &Shared, key: &Key, limit: Option<Limit>) {
     if let (Key::Server(id), Some(limit)) = (key, limit) {
         hear(shared, &Named { server: id.clone(), version: 1, limit: Some(limit) }, "question");
     }
 }
 
-fn log(shared: &Shared, word: &Named, from: &str) {
+fn log_change(shared: &Shared, word: &Named, from: &str) {
     let Basis { roster, age, .. } = shared.basis();
     let Named { server, version, limit } = word;
     let limit = limit.map(|limit| limit.0);
--- a/crates/daemon/src/gateway/pool.rs
+++ b/crates/daemon/src/gateway/pool.rs
@@ -24,7 +24,7 @@
 
 /// Connect timeout: about a hundred times the latency between availability zones, and short enough
 /// to try another backend server within the goal of a check.
-pub const CONNECT_WAIT: Duration = Duration::from_millis(80);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(80);
 /// Longest idle time of a pooled connection: the other ends close idle connections after whole
 /// seconds, one at the least.
 pub const IDLE_MAX: Duration = Duration::from_millis(900);
@@ -33,12 +33,12 @@
 pub const IDLE_MAX_ONCE: Duration = Duration::from_millis(500);
 /// Time limit for a whole body, however steadily it arrives: a megabyte takes two seconds over the
 /// slowest link with its other traffic.
-pub const BODY_WAIT: Duration = Duration::from_secs(6);
+pub const BODY_TIMEOUT: Duration = Duration::from_secs(6);
 /// A body that takes longer than this after its head is logged, since other data on the same link
 /// is delayed too.
 const BODY_SLOW: Duration = Duration::from_millis(100);
 /// Idle connections kept per address.
-const IDLE_COUNT: usize = 16;
+const IDLE_PER_ADDR: usize = 16;
 
 /// Why an exchange gave no answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Snafu)]
@@ -84,7 +84,7 @@
 
 /// Result of a call that checks whether a server answers at an address.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Reached {
+pub enum Reachability {
     /// A server answered with this status.
     Answered(StatusCode),
     /// The connection was refused: no process listens there.
@@ -121,10 +121,10 @@
 
     /// A connection that was idle for at most `idle_max`, or a new one.
     pub async fn take(&self, addr: SocketAddr, idle_max: Duration) -> Result<Conn, ExchangeError> {
-        if let Some(conn) = self.kept(addr, idle_max) {
+        if let Some(conn) = self.take_idle(addr, idle_max) {
             return Ok(conn);
         }
-        let opened = compio::time::timeout(CONNECT_WAIT, self.open(addr)).await;
+        let opened = compio::time::timeout(CONNECT_TIMEOUT, self.open(addr)).await;
         opened.unwrap_or(Err(ExchangeError::Unsent))
     }
 
@@ -137,7 +137,7 @@
         let mut idle = self.idle.borrow_mut();
         let kept = idle.entry(conn.addr).or_default();
         kept.push(conn);
-        if kept.len() > IDLE_COUNT {
+        if kept.len() > IDLE_PER_ADDR {
             kept.remove(0);
         }
     }
@@ -155,7 +155,7 @@
     }
 
     /// Like `call`, and returns the answer's headers too.
-    pub async fn call_headed(
+    pub async fn call_with_headers(
         &self,
         addr: SocketAddr,
         req: Request<Bytes>,
@@ -174,7 +174,7 @@
         req: Request<Bytes>,
         limit: Duration,
     ) -> Result<Coming, ExchangeError> {
-        let begun = compio::time::timeout(limit, self.begin(addr, req)).await;
+        let begun = compio::time::timeout(limit, self.begin_exchange(addr, req)).await;
         let (conn, response) = begun.unwrap_or(Err(ExchangeError::Lost))?;
         Ok(Coming { conn, response, head_at: self.clock.now() })
     }
@@ -190,7 +190,8 @@
         let Coming { conn, response, head_at } = coming;
         let status = response.status();
         let mut body = BytesMut::new();
-        let read = compio::time::timeout(BODY_WAIT, whole(response.into_body(), limit, &mut body));
+        let read =
+            compio::time::timeout(BODY_TIMEOUT, read_body(response.into_body(), limit, &mut body));
         let read = read.await.unwrap_or(Err(ExchangeError::Lost));
         let took = self.clock.now().since(head_at);
         if took > BODY_SLOW || read.is_err() {
@@ -203,24 +204,24 @@
     }
 
     /// Calls an address over a new connection, to see whether a server answers there.
-    pub async fn reach(&self, addr: SocketAddr, mut req: Request<Bytes>) -> Reached {
+    pub async fn check_address(&self, addr: SocketAddr, mut req: Request<Bytes>) -> Reachability {
         let stream = match TcpStream::connect(addr).await {
             Ok(stream) => stream,
-            Err(e) if e.kind() == ErrorKind::ConnectionRefused => return Reached::Refused,
-            Err(_) => return Reached::Broken,
+            Err(e) if e.kind() == ErrorKind::ConnectionRefused => return Reachability::Refused,
+            Err(_) => return Reachability::Broken,
         };
-        let Ok(mut conn) = self.over(addr, stream).await else {
-            return Reached::Broken;
+        let Ok(mut conn) = self.handshake(addr, stream).await else {
+            return Reachability::Broken;
         };
         set_host(&mut req, addr);
         let Ok(response) = conn.exchange(req).await else {
-            return Reached::Broken;
+            return Reachability::Broken;
         };
         let status = response.status();
         if response.into_body().collect().await.is_ok() {
             self.give(conn);
         }
-        Reached::Answered(status)
+        Reachability::Answered(status)
     }
 
     /// Closes idle connections to an address whose server has ended.
@@ -237,7 +238,7 @@
         idle.retain(|_, kept| !kept.is_empty());
     }
 
-    fn kept(&self, addr: SocketAddr, idle_max: Duration) -> Option<Conn> {
+    fn take_idle(&self, addr: SocketAddr, idle_max: Duration) -> Option<Conn> {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
         let kept = idle.get_mut(&addr)?;
@@ -252,10 +253,10 @@
 
     async fn open(&self, addr: SocketAddr) -> Result<Conn, ExchangeError> {
         let stream = TcpStream::connect(addr).await.map_err(|_| ExchangeError::Unsent)?;
-        self.over(addr, stream).await
+        self.handshake(addr, stream).await
     }
 
-    async fn over(&self, addr: SocketAddr, stream: TcpStream) -> Result<Conn, ExchangeError> {
+    async fn handshake(&self, addr: SocketAddr, stream: TcpStream) -> Result<Conn, ExchangeError> {
         // Without it small writes wait for acknowledgements; a failure to set it is harmless.
         let _ = stream.set_nodelay(true);
         let io = HyperStream::new_plain(stream);
@@ -268,7 +269,7 @@
         Ok(Conn { addr, sender, task, idle_since: self.clock.now() })
     }
 
-    async fn begin(
+    async fn begin_exchange(
         &self,
         addr: SocketAddr,
         mut req: Request<Bytes>,
@@ -281,7 +282,7 @@
 }
 
 /// Reads a body; `limit` applies to each part.
-async fn whole(
+async fn read_body(
     mut body: Incoming,
     limit: Duration,
     all: &mut BytesMut,
--- a/crates/daemon/src/gateway/quarantine.rs
+++ b/crates/daemon/src/gateway/quarantine.rs
@@ -26,7 +26,7 @@
 
 use super::answer::{self, Body, Cause};
 use super::intake::Intake;
-use super::pool::Reached;
+use super::pool::Reachability;
 use super::said;
 use super::shared::{Basis, Shared};
 use super::watch::Sink;
@@ -38,18 +38,18 @@
 pub const SUSPECTS: &str = "ebonyloft/suspects/";
 /// Timeout of a server's liveness check: about a hundred times the latency between availability
 /// zones.
-const SIGN_WAIT: Duration = Duration::from_millis(150);
+const LIVENESS_TIMEOUT: Duration = Duration::from_millis(150);
 /// How long a broken stream waits to learn whether its engine crashed, before it continues
 /// elsewhere; identical requests wait as long.
 const INQUIRY_WAIT: Duration = Duration::from_millis(300);
 /// Poll interval while waiting for the result of an inquiry.
-const INQUIRY_LOOK: Duration = Duration::from_millis(10);
+const INQUIRY_POLL: Duration = Duration::from_millis(10);
 /// Interval between upkeep rounds.
-const UPKEEP: Duration = Duration::from_millis(250);
+const UPKEEP_INTERVAL: Duration = Duration::from_millis(250);
 /// Back-off before a failed write to the store is repeated; doubled each time.
-const WRITE_PAUSE: Duration = Duration::from_millis(500);
+const WRITE_BACKOFF: Duration = Duration::from_millis(500);
 /// Longest such back-off: once the store is back, it stays for a few seconds at least.
-const WRITE_PAUSE_MAX: Duration = Duration::from_secs(4);
+const WRITE_BACKOFF_MAX: Duration = Duration::from_secs(4);
 /// A run that broke off this soon after its first event counts as only just begun.
 pub const EARLY: Duration = Duration::from_millis(1_000);
 
@@ -69,15 +69,15 @@
 }
 
 /// The only probe of a suspected request in the whole system.
-pub struct Trial {
+pub struct Probe {
     content: Content,
     number: u64,
 }
 
-impl Trial {
+impl Probe {
     /// Ends the probe, so that the next one may begin if the request is still only suspected.
     pub fn close(self, shared: &Shared) {
-        tell(shared, self.content, Fact::Over(self.number));
+        publish_fact(shared, self.content, Fact::Over(self.number));
     }
 }
 
@@ -97,7 +97,7 @@
 
 /// Decides whether a request may be sent. It waits briefly while a lost attempt of the same request
 /// is being checked, since most are no crashes; any other refusal is immediate.
-pub async fn admit(shared: &Shared, intake: &Intake) -> Result<Option<Trial>, Refused> {
+pub async fn admit(shared: &Shared, intake: &Intake) -> Result<Option<Probe>, Refused> {
     let until = shared.now().after(INQUIRY_WAIT);
     let standing = loop {
         let now = shared.now();
@@ -105,14 +105,14 @@
         if !matches!(standing, Standing::Held(_)) || now >= until {
             break standing;
         }
-        compio::time::sleep(INQUIRY_LOOK).await;
+        compio::time::sleep(INQUIRY_POLL).await;
     };
     let now = shared.now();
     let (cause, until) = match standing {
         Standing::Free => return Ok(None),
         Standing::Suspect => {
-            let trial = Trial { content: intake.content, number: shared.draw_number() };
-            tell(shared, trial.content, Fact::Trying(trial.number));
+            let trial = Probe { content: intake.content, number: shared.draw_number() };
+            publish_fact(shared, trial.content, Fact::Trying(trial.number));
             return Ok(Some(trial));
         }
         Standing::Held(until) => (Cause::Suspect, until),
@@ -172,7 +172,7 @@
     let loss = Loss { content: intake.content, early, sent: sent.at, at: now, number };
     shared.losses.borrow_mut().lost(server, loss, wait);
     if sent.run == Run::Begun {
-        tell(shared, intake.content, Fact::Lost(number));
+        publish_fact(shared, intake.content, Fact::Lost(number));
     }
     shared.inquiries.wake_all();
 }
@@ -191,15 +191,15 @@
 pub fn note_fate(shared: &Shared, intake: &Intake, sent: Sent<'_>, fate: Fate) {
     match fate {
         Fate::Lost => note_loss(shared, intake, sent),
-        Fate::Answered(status) if status < 500 => served(shared, &intake.content),
+        Fate::Answered(status) if status < 500 => on_served(shared, &intake.content),
         Fate::Answered(_) | Fate::Moved | Fate::Rejected | Fate::Unsent => {}
     }
 }
 
-fn served(shared: &Shared, content: &Content) {
+fn on_served(shared: &Shared, content: &Content) {
     let tells = shared.quarantine.borrow_mut().served_here(shared.now(), *content);
     if tells {
-        tell(shared, *content, Fact::Served);
+        publish_fact(shared, *content, Fact::Served);
     }
 }
 
@@ -208,21 +208,21 @@
 pub async fn settled(shared: &Shared, content: &Content) {
     let until = shared.now().after(INQUIRY_WAIT);
     while shared.now() < until && shared.losses.borrow().is_open(content) {
-        compio::time::sleep(INQUIRY_LOOK).await;
+        compio::time::sleep(INQUIRY_POLL).await;
     }
 }
 
 /// Handles an answer to what was sent at `sent`, which shows that the server was alive.
-pub fn note_alive(shared: &Shared, id: &ServerId, sent: Timestamp) {
+pub fn on_alive(shared: &Shared, id: &ServerId, sent: Timestamp) {
     let cleared = shared.losses.borrow_mut().alive(id, sent);
     let early = cleared.iter().filter(|loss| loss.early);
-    early.for_each(|loss| tell(shared, loss.content, Fact::Over(loss.number)));
+    early.for_each(|loss| publish_fact(shared, loss.content, Fact::Over(loss.number)));
 }
 
 /// Handles the end of a server's incarnation that did not announce its leaving.
-pub fn note_ended(shared: &Shared, id: &ServerId, how: &'static str) {
+pub fn on_ended(shared: &Shared, id: &ServerId, how: &'static str) {
     let losses = shared.losses.borrow_mut().ended(id);
-    blame(shared, id, losses, how);
+    record_crashes(shared, id, losses, how);
 }
 
 /// Handles a registration that is gone, or that names another incarnation now.
@@ -230,7 +230,7 @@
     let current = shared.roster.borrow().named(name).map(|s| s.id.clone());
     let ended = shared.losses.borrow_mut().ended_but(name, current.as_ref());
     for (id, losses) in ended {
-        blame(shared, &id, losses, "registration");
+        record_crashes(shared, &id, losses, "registration");
     }
 }
 
@@ -238,10 +238,10 @@
 /// store's state is not trusted yet.
 pub fn note_joined(shared: &Shared, addr: SocketAddr, id: &ServerId) {
     let replaced = shared.losses.borrow().replaced(addr, id);
-    replaced.iter().for_each(|before| note_ended(shared, before, "address"));
+    replaced.iter().for_each(|before| on_ended(shared, before, "address"));
 }
 
-fn blame(shared: &Shared, id: &ServerId, losses: Vec<Loss>, how: &'static str) {
+fn record_crashes(shared: &Shared, id: &ServerId, losses: Vec<Loss>, how: &'static str) {
     for loss in losses {
         if shared.quarantine.borrow().is_sound(loss.at, &loss.content) {
             continue;
@@ -252,19 +252,19 @@
             "backend server crashed under a request"
         );
         let fact = Fact::Ended(id.clone(), loss.early);
-        note(shared, Word { content: loss.content, age, fact });
+        publish(shared, Word { content: loss.content, age, fact });
         if loss.early {
-            tell(shared, loss.content, Fact::Over(loss.number));
+            publish_fact(shared, loss.content, Fact::Over(loss.number));
         }
     }
 }
 
-fn tell(shared: &Shared, content: Content, fact: Fact) {
-    note(shared, Word { content, age: 0, fact });
+fn publish_fact(shared: &Shared, content: Content, fact: Fact) {
+    publish(shared, Word { content, age: 0, fact });
 }
 
 /// Applies an observation made here and publishes it to all gateways.
-fn note(shared: &Shared, word: Word) {
+fn publish(shared: &Shared, word: Word) {
     take(shared, &word, None);
     shared.notes.borrow_mut().words.push(word);
     shared.inquiries.wake_all();
@@ -280,7 +280,7 @@
             let endings = shared.quarantine.borrow().endings(&content).len();
             tracing::info!(%content, ?fact, age, peer, endings, "request suspected of crashing servers");
             let close = shared.quarantine.borrow().is_close(&content);
-            if close && (peer.is_none() || is_first(shared)) {
+            if close && (peer.is_none() || is_first_gateway(shared)) {
                 shared.proofs.borrow_mut().push(content);
             }
         }
@@ -290,7 +290,7 @@
             let servers = ended.collect::<Vec<_>>().join(" ");
             tracing::warn!(%content, ?fact, age, peer, servers, "request confirmed to crash servers");
             shared.metrics.count("gateway.quarantine.proved", 1);
-            if peer.is_none() || is_first(shared) {
+            if peer.is_none() || is_first_gateway(shared) {
                 shared.proofs.borrow_mut().push(content);
             }
         }
@@ -302,7 +302,7 @@
 
 /// Is this gateway the first by name? The first one writes what was confirmed only by reports of
 /// several others.
-fn is_first(shared: &Shared) -> bool {
+fn is_first_gateway(shared: &Shared) -> bool {
     shared.fleet.borrow().all().keys().next() == Some(&shared.node().name)
 }
 
@@ -310,23 +310,23 @@
 pub async fn run(shared: Rc<Shared>) {
     loop {
         let now = shared.now();
-        let asks = shared.losses.borrow().next_ask().map_or(UPKEEP, |at| at.since(now));
-        let timer = std::pin::pin!(compio::time::sleep(asks.min(UPKEEP)));
+        let asks = shared.losses.borrow().next_ask().map_or(UPKEEP_INTERVAL, |at| at.since(now));
+        let timer = std::pin::pin!(compio::time::sleep(asks.min(UPKEEP_INTERVAL)));
         if let Either::Left(_) = select(shared.inquiries.wake(), timer).await {
-            continue_asks(&shared);
+            start_checks(&shared);
             continue;
         }
-        continue_asks(&shared);
+        start_checks(&shared);
         upkeep(&shared);
     }
 }
 
-fn continue_asks(shared: &Rc<Shared>) {
+fn start_checks(shared: &Rc<Shared>) {
     for (id, addr) in shared.losses.borrow_mut().ask(shared.now()) {
-        compio::runtime::spawn(ask(shared.clone(), id, addr)).detach();
+        compio::runtime::spawn(check_alive(shared.clone(), id, addr)).detach();
     }
     for content in shared.proofs.take() {
-        compio::runtime::spawn(write(shared.clone(), content)).detach();
+        compio::runtime::spawn(store_record(shared.clone(), content)).detach();
     }
 }
 
@@ -344,49 +344,50 @@
 }
 
 /// Checks whether a server is alive.
-async fn ask(shared: Rc<Shared>, id: ServerId, addr: SocketAddr) {
+async fn check_alive(shared: Rc<Shared>, id: ServerId, addr: SocketAddr) {
     if said::rests(&shared, &id) {
         return;
     }
     let sent = shared.now();
-    let reached = timeout(SIGN_WAIT, shared.pool.reach(addr, engine::report(&id))).await;
+    let reached =
+        timeout(LIVENESS_TIMEOUT, shared.pool.check_address(addr, engine::report(&id))).await;
     let found = match reached {
-        Ok(Reached::Answered(StatusCode::MISDIRECTED_REQUEST)) => Found::Other,
-        Ok(Reached::Answered(_)) => Found::Alive,
-        Ok(Reached::Refused) => Found::Nobody,
-        Ok(Reached::Broken) | Err(_) => Found::Silence,
+        Ok(Reachability::Answered(StatusCode::MISDIRECTED_REQUEST)) => Found::Other,
+        Ok(Reachability::Answered(_)) => Found::Alive,
+        Ok(Reachability::Refused) => Found::Nobody,
+        Ok(Reachability::Broken) | Err(_) => Found::Silence,
     };
     let ended = shared.losses.borrow_mut().found(&id, found);
     tracing::info!(server = %id, ?found, ended, "liveness of a backend server checked");
     shared.metrics.count("gateway.quarantine.asked", 1);
     if found == Found::Alive {
-        note_alive(&shared, &id, sent);
+        on_alive(&shared, &id, sent);
     }
     if ended {
-        note_ended(&shared, &id, if found == Found::Other { "address" } else { "port" });
+        on_ended(&shared, &id, if found == Found::Other { "address" } else { "port" });
     }
 }
 
 /// Should the store keep a record of this request?
-fn is_kept(shared: &Shared, content: &Content) -> bool {
+fn should_store(shared: &Shared, content: &Content) -> bool {
     is_proved(shared, content) || shared.quarantine.borrow().is_close(content)
 }
 
 /// Writes the record of a confirmed request, or of one close to that, to the store; repeated on
 /// failure while the request stays so. On a conflict another gateway has written it.
-async fn write(shared: Rc<Shared>, content: Content) {
-    let mut pause = WRITE_PAUSE;
-    while is_kept(&shared, &content) {
-        match try_write(&shared, content).await {
+async fn store_record(shared: Rc<Shared>, content: Content) {
+    let mut pause = WRITE_BACKOFF;
+    while should_store(&shared, &content) {
+        match try_store_record(&shared, content).await {
             Ok(()) | Err(StoreError::Conflict) => return,
             Err(e) => tracing::info!(%content, error = %e, "quarantine record not written"),
         }
         compio::time::sleep(pause.mul_f64(0.5 + shared.draw())).await;
-        pause = (pause * 2).min(WRITE_PAUSE_MAX);
+        pause = (pause * 2).min(WRITE_BACKOFF_MAX);
     }
 }
 
-async fn try_write(shared: &Shared, content: Content) -> Result<(), StoreError> {
+async fn try_store_record(shared: &Shared, content: Content) -> Result<(), StoreError> {
     let (prefix, life) = match is_proved(shared, &content) {
         true => (PREFIX, PROVED_LIFE),
         false => (SUSPECTS, SUSPECT_LIFE),
--- a/crates/daemon/src/gateway/quota.rs
+++ b/crates/daemon/src/gateway/quota.rs
@@ -29,19 +29,19 @@
 use super::shared::{Basis, Shared};
 
 /// Longest wait for an owner's answer: about ten times the round trip.
-const ASK_WAIT: Duration = Duration::from_millis(40);
+const OWNER_TIMEOUT: Duration = Duration::from_millis(40);
 /// Shortest retry-after time, the least that the header can express.
-const BACK_MIN: Duration = Duration::from_millis(10);
+const RETRY_MIN: Duration = Duration::from_millis(10);
 /// How often an owner is asked for one request: one datagram in fifty may be lost.
-const ASKS_MAX: usize = 3;
+const ATTEMPTS_MAX: usize = 3;
 /// How long an owner that did not answer is skipped.
-const SILENT_REST: Duration = Duration::from_millis(1_000);
+const SILENT_BACKOFF: Duration = Duration::from_millis(1_000);
 /// Tokens that expire within this time are returned to the owner: it covers the time until the next
 /// upkeep round, and the transfer.
-const LAPSES: Duration = Duration::from_millis(300);
+const EXPIRY_MARGIN: Duration = Duration::from_millis(300);
 /// Mean retry-after time if the account's owner does not answer: by then another gateway owns the
 /// quota.
-const HOME_LOST: Duration = Duration::from_millis(700);
+const OWNER_LOST_RETRY: Duration = Duration::from_millis(700);
 
 /// Tokens that a request took from its account's quota.
 #[derive(Debug)]
@@ -69,13 +69,13 @@
 impl Refused {
     /// The caller's answer, which says that the request did not run.
     pub fn response(self, now: Timestamp) -> Response<Body> {
-        answer::refusal(self.cause, Verdict::NotRun, Some(self.back_at.since(now).max(BACK_MIN)))
+        answer::refusal(self.cause, Verdict::NotRun, Some(self.back_at.since(now).max(RETRY_MIN)))
     }
 }
 
 /// Why no tokens were acquired.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Short {
+pub enum Shortage {
     /// The quota or limit is used up until this time.
     Over(Timestamp),
     /// No gateway that grants it answers.
@@ -88,11 +88,11 @@
         return Ok(None);
     };
     let key = Key::Account(account);
-    match take(shared, &key, tokens, None, ASKS_MAX).await {
+    match acquire(shared, &key, tokens, None, ATTEMPTS_MAX).await {
         Ok(()) => Ok(Some(Charge { key, tokens })),
-        Err(Short::Over(back_at)) => Err(refuse(shared, intake, Cause::OverQuota, back_at)),
-        Err(Short::Unknown) => {
-            let back_at = shared.now().after(HOME_LOST.mul_f64(0.5 + shared.draw()));
+        Err(Shortage::Over(back_at)) => Err(refuse(shared, intake, Cause::OverQuota, back_at)),
+        Err(Shortage::Unknown) => {
+            let back_at = shared.now().after(OWNER_LOST_RETRY.mul_f64(0.5 + shared.draw()));
             Err(refuse(shared, intake, Cause::QuotaUnknown, back_at))
         }
     }
@@ -100,13 +100,13 @@
 
 /// Acquires `need` tokens, from those held here or from the owner. The owner is asked at most
 /// `attempts` times and is told a server's limit.
-pub async fn take(
+pub async fn acquire(
     shared: &Shared,
     key: &Key,
     need: u64,
     limit: Option<Limit>,
     asks: usize,
-) -> Result<(), Short> {
+) -> Result<(), Shortage> {
     if shared.borrower.borrow_mut().take(shared.now(), key, need) {
         return Ok(());
     }
@@ -119,9 +119,9 @@
     for _ in 0..asks {
         let over = shared.borrower.borrow().over(shared.now(), key);
         if let Some((_, back_at)) = over {
-            return Err(Short::Over(back_at));
+            return Err(Shortage::Over(back_at));
         }
-        match put(shared, &ask).await {
+        match ask_owner(shared, &ask).await {
             Some(Reply::Lent(tokens)) => {
                 let mut borrower = shared.borrower.borrow_mut();
                 borrower.lent(key, asked, tokens);
@@ -133,17 +133,17 @@
                 let now = shared.now();
                 let after = |ms: u32| now.after(Duration::from_millis(ms.into()));
                 shared.borrower.borrow_mut().refused(key, after(room), after(back));
-                return Err(Short::Over(after(back)));
+                return Err(Shortage::Over(after(back)));
             }
-            Some(Reply::Elsewhere) if asks > 1 => compio::time::sleep(ASK_WAIT).await,
+            Some(Reply::Elsewhere) if asks > 1 => compio::time::sleep(OWNER_TIMEOUT).await,
             Some(Reply::Elsewhere) => {}
             None => unanswered += 1,
         }
     }
-    if let Some(home) = home(shared, key).filter(|_| unanswered == asks) {
-        pass_over(shared, key, &home);
+    if let Some(home) = owner(shared, key).filter(|_| unanswered == asks) {
+        skip_owner(shared, key, &home);
     }
-    Err(Short::Unknown)
+    Err(Shortage::Unknown)
 }
 
 fn refuse(shared: &Shared, intake: &Intake, cause: Cause, back_at: Timestamp) -> Refused {
@@ -170,30 +170,30 @@
 }
 
 /// Sends a request for tokens to the owner, which may be this gateway.
-async fn put(shared: &Shared, ask: &Ask) -> Option<Reply> {
-    let home = home(shared, &ask.key)?;
+async fn ask_owner(shared: &Shared, ask: &Ask) -> Option<Reply> {
+    let home = owner(shared, &ask.key)?;
     if home == shared.node().name {
-        return Some(lend(shared, ask));
+        return Some(grant(shared, ask));
     }
     let addr = shared.fleet.borrow().all().get(&home)?.addr;
     let (sender, reply) = oneshot::channel();
     shared.asked.borrow_mut().insert(ask.number, sender);
     shared.post(addr, News::Ask(ask.clone()));
-    let reply = compio::time::timeout(ASK_WAIT, reply).await;
+    let reply = compio::time::timeout(OWNER_TIMEOUT, reply).await;
     shared.asked.borrow_mut().remove(&ask.number);
     reply.ok()?.ok()
 }
 
 /// Skips an owner that did not answer several times, which lost datagrams alone hardly explain.
-fn pass_over(shared: &Shared, key: &Key, home: &str) {
+fn skip_owner(shared: &Shared, key: &Key, home: &str) {
     tracing::info!(?key, home, "owner of a quota or limit does not answer");
-    let until = shared.now().after(SILENT_REST);
+    let until = shared.now().after(SILENT_BACKOFF);
     shared.silent.borrow_mut().insert(gateway_number(home), until);
 }
 
 /// Answers a peer's request for tokens.
 pub fn serve(shared: &Shared, from: SocketAddr, ask: &Ask) {
-    let reply = lend(shared, ask);
+    let reply = grant(shared, ask);
     shared.post(from, News::Answer(Answer { number: ask.number, reply }));
 }
 
@@ -207,8 +207,8 @@
 
 /// Returns tokens that would expire unused. If the datagram is lost, they are granted to no
 /// gateway.
-fn bring_back(shared: &Shared, key: &Key, tokens: u64) {
-    let Some(home) = home(shared, key) else {
+fn return_unused(shared: &Shared, key: &Key, tokens: u64) {
+    let Some(home) = owner(shared, key) else {
         return;
     };
     if home == shared.node().name {
@@ -221,19 +221,19 @@
 
 /// Takes back tokens that a peer did not use.
 pub fn take_back(shared: &Shared, key: &Key, tokens: u64) {
-    if let Some(bound) = bound(shared, key, None) {
-        let part = part(shared, key, &bound);
+    if let Some(bound) = rate_of(shared, key, None) {
+        let part = granted_share(shared, key, &bound);
         shared.lender.borrow_mut().take_back(key, tokens, part);
     }
 }
 
-fn lend(shared: &Shared, ask: &Ask) -> Reply {
-    limits::learn(shared, &ask.key, ask.limit);
-    let Some(bound) = bound(shared, &ask.key, ask.limit) else {
+fn grant(shared: &Shared, ask: &Ask) -> Reply {
+    limits::learn_from_request(shared, &ask.key, ask.limit);
+    let Some(bound) = rate_of(shared, &ask.key, ask.limit) else {
         return Reply::Elsewhere;
     };
     let (now, node) = (shared.now(), shared.node());
-    let part = part(shared, &ask.key, &bound);
+    let part = granted_share(shared, &ask.key, &bound);
     let fleet = shared.fleet.borrow();
     let ranked = shared.homes.borrow_mut().ranked(&fleet, &ask.key);
     let first = ranked.first() == Some(&node.name);
@@ -261,7 +261,7 @@
 
 /// The rate of a quota or limit; for a server's limit, the stricter of the known and the reported
 /// one.
-fn bound(shared: &Shared, key: &Key, told: Option<Limit>) -> Option<Rate> {
+fn rate_of(shared: &Shared, key: &Key, told: Option<Limit>) -> Option<Rate> {
     match key {
         Key::Account(account) => Some(quota(shared, account)?.bound),
         Key::Server(id) => {
@@ -286,7 +286,7 @@
 }
 
 /// The owner to ask, among the gateways that this one receives messages from.
-fn home(shared: &Shared, key: &Key) -> Option<String> {
+fn owner(shared: &Shared, key: &Key) -> Option<String> {
     let fleet = shared.fleet.borrow();
     let mut missing = missing(shared);
     let silent = shared.silent.borrow();
@@ -297,7 +297,7 @@
 }
 
 /// The share of a quota or limit that this gateway grants.
-fn part(shared: &Shared, key: &Key, bound: &Rate) -> f64 {
+fn granted_share(shared: &Shared, key: &Key, bound: &Rate) -> f64 {
     let (now, node, fleet) = (shared.now(), shared.node(), shared.fleet.borrow());
     let mut homes = shared.homes.borrow_mut();
     if shared.scope() == Scope::Zone {
@@ -312,7 +312,7 @@
     }
     let shares = shared.shares.borrow();
     let own = missing(shared);
-    let votes = Heard { now, name: &node.name, own: &own, shares: &shares };
+    let votes = ObservedViews { now, name: &node.name, own: &own, shares: &shares };
     homes.part(&fleet, key, &node.name, &votes)
 }
 
@@ -329,25 +329,26 @@
 /// no longer used.
 pub fn expire(shared: &Shared) {
     let now = shared.now();
-    let unused = shared.borrower.borrow_mut().unused(now, LAPSES);
-    unused.iter().for_each(|(key, tokens)| bring_back(shared, key, *tokens));
+    let unused = shared.borrower.borrow_mut().unused(now, EXPIRY_MARGIN);
+    unused.iter().for_each(|(key, tokens)| return_unused(shared, key, *tokens));
     shared.borrower.borrow_mut().expire(now);
     shared.lender.borrow_mut().tick(now, shared.fleet.borrow().edition());
-    let lends =
-        |key: &Key| bound(shared, key, None).is_some_and(|bound| part(shared, key, &bound) > 0.0);
+    let lends = |key: &Key| {
+        rate_of(shared, key, None).is_some_and(|bound| granted_share(shared, key, &bound) > 0.0)
+    };
     shared.lender.borrow_mut().retain(lends);
     shared.silent.borrow_mut().retain(|_, until| *until > now);
 }
 
 /// Unreachable gateways as reported by each peer, with this gateway's own view.
-struct Heard<'a> {
+struct ObservedViews<'a> {
     now: Timestamp,
     name: &'a str,
     own: &'a Missing,
     shares: &'a Shares,
 }
 
-impl Votes for Heard<'_> {
+impl Votes for ObservedViews<'_> {
     fn missing(&self, name: &str) -> Option<&Missing> {
         if name == self.name {
             return Some(self.own);
--- a/crates/daemon/src/gateway/retries.rs
+++ b/crates/daemon/src/gateway/retries.rs
@@ -39,25 +39,25 @@
 }
 
 /// Commits the reserved budget as a request is sent.
-pub fn sent(shared: &Shared, intake: &Intake) {
-    if change(intake, Arrivals::send) {
+pub fn commit(shared: &Shared, intake: &Intake) {
+    if update_arrivals(intake, Arrivals::send) {
         shared.budget(&intake.service).spend(shared.now());
     }
 }
 
 /// Undoes the commit of a send that reached no server.
-pub fn unsent(shared: &Shared, intake: &Intake) {
-    if change(intake, Arrivals::unsend) {
+pub fn undo_commit(shared: &Shared, intake: &Intake) {
+    if update_arrivals(intake, Arrivals::unsend) {
         shared.budget(&intake.service).take_back();
     }
 }
 
 /// Handles a prompt that an engine accepted; budget that is no longer needed is released.
 pub fn accepted(shared: &Shared, intake: &Intake) {
-    if change(intake, Arrivals::accept) {
+    if update_arrivals(intake, Arrivals::accept) {
         shared.budget(&intake.service).take_back();
     }
-    let spare = change(intake, Arrivals::spare);
+    let spare = update_arrivals(intake, Arrivals::spare);
     shared.budget(&intake.service).release(spare);
 }
 
@@ -67,7 +67,7 @@
     shared.budget(&intake.service).release(held);
 }
 
-fn change<T>(intake: &Intake, step: impl FnOnce(&mut Arrivals) -> T) -> T {
+fn update_arrivals<T>(intake: &Intake, step: impl FnOnce(&mut Arrivals) -> T) -> T {
     let mut arrivals = intake.arrivals.get();
     let changed = step(&mut arrivals);
     intake.arrivals.set(arrivals);
--- a/crates/daemon/src/gateway/said.rs
+++ b/crates/daemon/src/gateway/said.rs
@@ -20,14 +20,14 @@
 use super::shared::{Basis, Shared};
 
 /// Applies the announcements in the head of an answer to something sent at `sent`.
-pub fn note(shared: &Shared, to: &ServerId, sent: Timestamp, reply: &Reply) {
+pub fn on_answer(shared: &Shared, to: &ServerId, sent: Timestamp, reply: &Reply) {
     if reply.leaving
-        && let Some(id) = speaker(shared, to, reply)
+        && let Some(id) = answering_server(shared, to, reply)
     {
         leaving(shared, &id, "answer");
     }
     if !reply.moved {
-        limits::note(shared, to, sent, reply.limit);
+        limits::on_answer(shared, to, sent, reply.limit);
     }
     if let Some(pause) = reply.pause.filter(|_| !reply.moved) {
         let now = shared.now();
@@ -40,13 +40,13 @@
 
 /// Is a backend server paused, or its limit used up?
 pub fn rests(shared: &Shared, id: &ServerId) -> bool {
-    rests_until(shared, id).is_some()
+    paused_until(shared, id).is_some()
 }
 
 /// Until when the server is paused or its limit used up.
-fn rests_until(shared: &Shared, id: &ServerId) -> Option<Timestamp> {
+fn paused_until(shared: &Shared, id: &ServerId) -> Option<Timestamp> {
     let paused = shared.pauses.borrow().until(shared.now(), id);
-    paused.max(limits::used_up(shared, id))
+    paused.max(limits::used_up_until(shared, id))
 }
 
 /// When the first of these servers is available again; `None` if one is available now, or if there
@@ -55,7 +55,7 @@
     shared: &Shared,
     servers: impl Iterator<Item = &'a Server>,
 ) -> Option<Timestamp> {
-    pauses::soonest(servers.map(|s| rests_until(shared, &s.id)))
+    pauses::soonest(servers.map(|s| paused_until(shared, &s.id)))
 }
 
 /// May a server be sent a request for which its limit was already acquired? Checked right before
@@ -66,7 +66,7 @@
 }
 
 /// The incarnation that answered: the one addressed, unless the answer names another.
-fn speaker(shared: &Shared, to: &ServerId, reply: &Reply) -> Option<ServerId> {
+fn answering_server(shared: &Shared, to: &ServerId, reply: &Reply) -> Option<ServerId> {
     match &reply.instance {
         Some(name) if *name != to.name => {
             let roster = shared.roster.borrow();
@@ -105,11 +105,11 @@
         return Err(ExchangeError::Unsent);
     }
     let sent = shared.now();
-    let (headers, status, body) = shared.pool.call_headed(to.addr, req, limit).await?;
+    let (headers, status, body) = shared.pool.call_with_headers(to.addr, req, limit).await?;
     let reply = headers::reply(status, &headers);
     if !reply.moved {
-        quarantine::note_alive(shared, &to.id, sent);
+        quarantine::on_alive(shared, &to.id, sent);
     }
-    note(shared, &to.id, sent, &reply);
+    on_answer(shared, &to.id, sent, &reply);
     Ok((status, body))
 }
--- a/crates/daemon/src/gateway/send.rs
+++ b/crates/daemon/src/gateway/send.rs
@@ -55,7 +55,7 @@
         _ if intake.is_repeatable() => IDLE_MAX,
         _ => IDLE_MAX_ONCE,
     };
-    let mut conn = shared.pool.take(to.addr, idle_max).await.map_err(fate)?;
+    let mut conn = shared.pool.take(to.addr, idle_max).await.map_err(exchange_outcome)?;
     // The server may have announced that it is leaving while the request waited for its prefill,
     // for another zone or for this connection.
     if !said::takes(shared, &to.id) {
@@ -78,16 +78,16 @@
     // The request counts as run from here on, even if its caller disconnects before the outcome is
     // known.
     let ran = intake.ran.replace(intake.ran.get() || expect == Expect::Signature);
-    retries::sent(shared, intake);
+    retries::commit(shared, intake);
     let response = match conn.exchange(req).await {
         Ok(response) => response,
         Err(e) => {
             conn.close();
             if matches!(e, ExchangeError::Unsent) {
                 intake.ran.set(ran);
-                retries::unsent(shared, intake);
+                retries::undo_commit(shared, intake);
             }
-            return Err(fate(e));
+            return Err(exchange_outcome(e));
         }
     };
     let reply = headers::reply(response.status(), response.headers());
@@ -95,9 +95,9 @@
         intake.ran.set(ran);
     }
     if !reply.moved {
-        quarantine::note_alive(shared, &to.id, sent);
+        quarantine::on_alive(shared, &to.id, sent);
     }
-    said::note(shared, &to.id, sent, &reply);
+    said::on_answer(shared, &to.id, sent, &reply);
     Ok(Head { reply, response, conn })
 }
 
@@ -145,7 +145,7 @@
     }
 }
 
-fn fate(e: ExchangeError) -> Fate {
+fn exchange_outcome(e: ExchangeError) -> Fate {
     match e {
         ExchangeError::Unsent => Fate::Unsent,
         ExchangeError::Lost => Fate::Lost,
--- a/crates/daemon/src/gateway/uploads.rs
+++ b/crates/daemon/src/gateway/uploads.rs
@@ -7,27 +7,27 @@
 use ebonyloft_core::time::Timestamp;
 use futures_util::stream;
 
-use super::pool::BODY_WAIT;
+use super::pool::BODY_TIMEOUT;
 use crate::http;
 
 /// Mbit/s of the link that each upload should have: the download rate of the weakest VMs. A VM with
 /// a link of 10 Mbit/s that sent to one to seven peers at once could not connect to any backend
 /// server for three seconds.
-const EACH: u32 = 10;
+const MBITS_PER_UPLOAD: u32 = 10;
 /// Most concurrent uploads over a link of unknown rate.
-const UNKNOWN: usize = 4;
+const UNKNOWN_LINK_MAX: usize = 4;
 /// Bytes handed to a connection at a time.
-const PART: usize = 16 << 10;
+const CHUNK: usize = 16 << 10;
 
 /// Counts the uploads under way.
 #[derive(Debug, Default)]
 pub struct Uploads {
-    open: RefCell<Vec<Open>>,
+    open: RefCell<Vec<OpenUpload>>,
 }
 
 /// An upload under way, and when it stops counting at the latest.
 #[derive(Debug)]
-struct Open {
+struct OpenUpload {
     upload: Weak<()>,
     until: Timestamp,
 }
@@ -41,8 +41,8 @@
     /// Permission for one more upload over a link of so many Mbit/s, if the link can carry it.
     pub fn begin(&self, now: Timestamp, link: u32) -> Option<Upload> {
         let most = match link {
-            0 => UNKNOWN,
-            link => (link / EACH).max(1) as usize,
+            0 => UNKNOWN_LINK_MAX,
+            link => (link / MBITS_PER_UPLOAD).max(1) as usize,
         };
         let mut open = self.open.borrow_mut();
         open.retain(|o| o.until > now && o.upload.strong_count() > 0);
@@ -51,7 +51,7 @@
         }
         let counts = Arc::new(());
         // By then the peer has given up, though a silent connection does not show it.
-        open.push(Open { upload: Arc::downgrade(&counts), until: now.after(BODY_WAIT) });
+        open.push(OpenUpload { upload: Arc::downgrade(&counts), until: now.after(BODY_TIMEOUT) });
         Some(Upload { _counts: counts })
     }
 }
@@ -60,7 +60,7 @@
     /// A body of these bytes; the upload counts until the last of them is handed to the connection.
     pub fn body(self, bytes: Bytes) -> http::Body {
         let parts = stream::unfold((self, bytes), |(upload, mut left)| async move {
-            let part = left.split_to(left.len().min(PART));
+            let part = left.split_to(left.len().min(CHUNK));
             (!part.is_empty()).then_some((part, (upload, left)))
         });
         http::streamed(parts)
--- a/crates/daemon/tests/uploads.rs
+++ b/crates/daemon/tests/uploads.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ebonyloft_core::time::Timestamp;
-use ebonyloftd::gateway::pool::BODY_WAIT;
+use ebonyloftd::gateway::pool::BODY_TIMEOUT;
 use ebonyloftd::gateway::uploads::Uploads;
 
 const NOW: Timestamp = Timestamp::from_millis(100_000);
@@ -31,7 +31,7 @@
 fn one_that_stalls_does_not_count_for_ever() {
     let uploads = Uploads::default();
     let _stalled = uploads.begin(NOW, 10).expect("the first");
-    let last = NOW.after(BODY_WAIT).before(Duration::from_millis(1));
+    let last = NOW.after(BODY_TIMEOUT).before(Duration::from_millis(1));
     assert!(uploads.begin(last, 10).is_none());
-    assert!(uploads.begin(NOW.after(BODY_WAIT), 10).is_some());
+    assert!(uploads.begin(NOW.after(BODY_TIMEOUT), 10).is_some());
 }
