--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -92,11 +92,11 @@
     start_tasks(&shared, &node, &options, registry, closing.shared(), hup).await?;
     tracing::info!(name = %node.name, zone = %node.zone, version = env!("CARGO_PKG_VERSION"), "started");
     stop.await;
-    let asked = shared.now();
-    shared.stopping.set(Some(asked));
+    let stopped_at = shared.now();
+    shared.stopping.set(Some(stopped_at));
     tracing::info!(open = shared.open.get(), "stopping");
     compio::time::sleep(MIN_SHUTDOWN).await;
-    let end = asked.after(node.bounds.grace).before(CUTOFF_MARGIN);
+    let end = stopped_at.after(node.bounds.grace).before(CUTOFF_MARGIN);
     while shared.open.get() > 0 && shared.now() < end {
         compio::time::sleep(STOP_POLL).await;
     }
@@ -116,8 +116,8 @@
     closing: ingress::Closing,
     hup: impl Future<Output = ()> + 'static,
 ) -> io::Result<()> {
-    let missing = || io::Error::other("the settings have no address for callers");
-    let callers = TcpListener::bind(node.callers.ok_or_else(missing)?).await?;
+    let no_address = || io::Error::other("the settings have no address for callers");
+    let callers = TcpListener::bind(node.callers.ok_or_else(no_address)?).await?;
     let peer_addr = SocketAddr::from((node.ip, node.peer_port));
     let peers = TcpListener::bind(peer_addr).await?;
     let socket = Rc::new(UdpSocket::bind(peer_addr).await?);
@@ -196,11 +196,11 @@
         shared.limits.borrow_mut().retain(|id| roster.get(id).is_some());
         drop(roster);
         if let Some(config) = shared.config() {
-            let named = |name: &str| config.routes.iter().any(|r| r.name == name);
-            shared.patience.borrow_mut().retain(named);
-            let served = |name: &str| config.service(name).is_some();
-            shared.learned.borrow_mut().retain(named, served);
-            shared.lines.borrow_mut().retain(|name, _| served(name));
+            let has_route = |name: &str| config.routes.iter().any(|r| r.name == name);
+            shared.patience.borrow_mut().retain(has_route);
+            let has_service = |name: &str| config.service(name).is_some();
+            shared.learned.borrow_mut().retain(has_route, has_service);
+            shared.lines.borrow_mut().retain(|name, _| has_service(name));
         }
         let dropped = logs::dropped();
         if dropped > logged {
--- a/crates/daemon/src/gateway/call.rs
+++ b/crates/daemon/src/gateway/call.rs
@@ -33,7 +33,7 @@
 /// State of a call: the send under way, or the ticket in the admission queue.
 #[derive(Default)]
 struct InFlight {
-    open: Option<(Server, Timestamp)>,
+    send: Option<(Server, Timestamp)>,
     ticket: Option<Ticket>,
 }
 
@@ -42,7 +42,7 @@
     /// and its duration says nothing about the server.
     fn close(self, shared: &Shared, intake: &Intake) {
         let service = &intake.service;
-        if let Some((server, sent)) = self.open {
+        if let Some((server, sent)) = self.send {
             shared.plain.borrow_mut().dropped(&server.id, sent);
             shared.line(service).dropped(sent);
             let sent = Sent { server: &server, run: Run::Call, at: sent };
@@ -119,7 +119,7 @@
 async fn deliver(shared: &Shared, intake: &Intake, flight: &mut InFlight) -> Response<Body> {
     let mut progress = Progress::new(intake.is_repeatable(), intake.route().attempts);
     let mut tried: Vec<ServerId> = Vec::new();
-    let mut last: Option<Whole> = None;
+    let mut last_failure: Option<Whole> = None;
     let mut cause = Cause::NoServer;
     while progress.may_send() {
         let now = shared.now();
@@ -137,18 +137,18 @@
         }
         // A failed call is retried only if the service has free capacity, so that it displaces no
         // other call.
-        if last.is_some() && !shared.line(&intake.service).has_room(now) {
+        if last_failure.is_some() && !shared.line(&intake.service).has_room(now) {
             break;
         }
         if !retries::afford(shared, intake, Next::Run) {
             cause = Cause::Budget;
             break;
         }
-        if let Some(at) = all_paused_until(shared, intake, &tried) {
-            if at >= intake.goal_at {
-                return refuse_paused(shared, intake, progress.verdict(), at);
+        if let Some(available_at) = all_paused_until(shared, intake, &tried) {
+            if available_at >= intake.goal_at {
+                return refuse_paused(shared, intake, progress.verdict(), available_at);
             }
-            compio::time::sleep(at.since(now)).await;
+            compio::time::sleep(available_at.since(now)).await;
             continue;
         }
         if !wait_for_admission(shared, intake, flight).await {
@@ -165,17 +165,17 @@
         let now = shared.now();
         let limit = send_limit(shared, intake, now, &progress, &tried);
         progress.begin();
-        let (fate, answer) = send_to(shared, intake, &server, limit, flight).await;
-        progress.note(fate);
+        let (outcome, answer) = send_to(shared, intake, &server, limit, flight).await;
+        progress.note(outcome);
         let sent = Sent { server: &server, run: Run::Call, at: now };
-        quarantine::note_fate(shared, intake, sent, fate);
+        quarantine::note_fate(shared, intake, sent, outcome);
         tried.push(server.id.clone());
-        match fate {
+        match outcome {
             Fate::Answered(status) => {
                 if status < 500 {
                     return answer.map_or_else(|| lost_response(&progress), complete_response);
                 }
-                last = answer;
+                last_failure = answer;
             }
             Fate::Moved => gone(shared, &server.id),
             Fate::Rejected => cause = Cause::Overload,
@@ -183,7 +183,7 @@
             Fate::Unsent => {}
         }
     }
-    if let Some(answer) = last {
+    if let Some(answer) = last_failure {
         return complete_response(answer);
     }
     refuse(shared, intake, cause, progress.verdict())
@@ -193,8 +193,8 @@
 /// limit.
 fn all_paused_until(shared: &Shared, intake: &Intake, tried: &[ServerId]) -> Option<Timestamp> {
     let roster = shared.roster.borrow();
-    let left = roster.ready(&intake.service).filter(|s| !tried.contains(&s.id));
-    said::soonest(shared, left)
+    let untried = roster.ready(&intake.service).filter(|s| !tried.contains(&s.id));
+    said::soonest(shared, untried)
 }
 
 /// The best backend server for a call among those not tried yet.
@@ -218,14 +218,14 @@
     progress: &Progress,
     tried: &[ServerId],
 ) -> Duration {
-    let all = intake.ends_at.since(now);
-    let mut after = *progress;
-    after.note(Fate::Lost);
-    let others = shared.roster.borrow().ready(&intake.service).count() > tried.len() + 1;
-    if after.may_send() && others {
-        return all.min(intake.route().goal.mul_f64(GIVE_UP_FRACTION));
+    let time_left = intake.ends_at.since(now);
+    let mut after_loss = *progress;
+    after_loss.note(Fate::Lost);
+    let has_others = shared.roster.borrow().ready(&intake.service).count() > tried.len() + 1;
+    if after_loss.may_send() && has_others {
+        return time_left.min(intake.route().goal.mul_f64(GIVE_UP_FRACTION));
     }
-    all
+    time_left
 }
 
 async fn send_to(
@@ -238,23 +238,23 @@
     let sent = shared.now();
     shared.plain.borrow_mut().sent(sent, &to.id);
     shared.line(&intake.service).sent(sent);
-    flight.open = Some((to.clone(), sent));
+    flight.send = Some((to.clone(), sent));
     let req = intake.request(sent, &to.id);
-    let (fate, answer) = send::whole(shared, intake, to, req, limit, Expect::Signature).await;
+    let (outcome, answer) = send::whole(shared, intake, to, req, limit, Expect::Signature).await;
     let now = shared.now();
     let load = answer.as_ref().and_then(|a| a.reply.load);
-    shared.plain.borrow_mut().ended(now, &to.id, sent, fate, load);
-    shared.line(&intake.service).ended(now, sent, fate, load);
+    shared.plain.borrow_mut().ended(now, &to.id, sent, outcome, load);
+    shared.line(&intake.service).ended(now, sent, outcome, load);
     shared.line_waiters.wake_all();
-    flight.open = None;
+    flight.send = None;
     let ms = now.since(sent).as_millis() as u64;
     let Basis { config, roster, age } = shared.basis();
     tracing::info!(
-        id = intake.id(), content = %intake.content, server = %to.id, ?fate, ms,
+        id = intake.id(), content = %intake.content, server = %to.id, fate = ?outcome, ms,
         running = load.map(|l| l.running), waiting = load.map(|l| l.waiting), config, roster,
         age, "sent"
     );
-    (fate, answer)
+    (outcome, answer)
 }
 
 /// Marks a server as gone after another one answered at its address.
--- a/crates/daemon/src/gateway/ingress.rs
+++ b/crates/daemon/src/gateway/ingress.rs
@@ -88,14 +88,14 @@
         .max_buf_size(limits.head.max(BUFFER_MIN))
         .serve_connection(HyperStream::new_plain(stream), service);
     let mut served = std::pin::pin!(served);
-    let ended = match select(served.as_mut(), closing).await {
-        Either::Left((ended, _)) => ended,
+    let result = match select(served.as_mut(), closing).await {
+        Either::Left((result, _)) => result,
         Either::Right(_) => {
             served.as_mut().graceful_shutdown();
             served.await
         }
     };
-    if let Err(e) = ended {
+    if let Err(e) = result {
         tracing::debug!(error = %e, "caller's connection failed");
     }
 }
@@ -127,13 +127,13 @@
         let id = caller.attempt.as_deref().unwrap_or("-");
         shared.metrics.count("gateway.refused.unread", 1);
         let away = shared.fresh.borrow().is_away();
-        let waits = matches!(cause, Cause::NotReady | Cause::Unconfirmed);
-        let left = caller.patience.filter(|_| waits);
-        let wait = comeback::wait(left, away, shared.draw());
+        let is_transient = matches!(cause, Cause::NotReady | Cause::Unconfirmed);
+        let time_left = caller.patience.filter(|_| is_transient);
+        let retry_after = comeback::wait(time_left, away, shared.draw());
         let Basis { config, roster, age } = shared.basis();
-        let ms = wait.as_millis() as u64;
+        let ms = retry_after.as_millis() as u64;
         tracing::info!(id, ?cause, away, ms, config, roster, age, "request refused unread");
-        let mut response = answer::refusal(cause, Verdict::NotRun, Some(wait));
+        let mut response = answer::refusal(cause, Verdict::NotRun, Some(retry_after));
         if matches!(cause, Cause::Malformed | Cause::TooLarge) {
             answer::close_after(&mut response);
         }
@@ -155,12 +155,12 @@
     else {
         return Err(refuse(Cause::NoRoute));
     };
-    let (account, weight) = match account_and_cost(shared, &config, route, &caller) {
-        Ok(admitted) => admitted,
+    let (account, cost) = match account_and_cost(shared, &config, route, &caller) {
+        Ok(identified) => identified,
         Err(cause) => return Err(refuse(cause)),
     };
-    if let Some(asked) = shared.stopping.get()
-        && !can_finish(shared, asked, came_at, config.routes[route].kind)
+    if let Some(stopped_at) = shared.stopping.get()
+        && !can_finish(shared, stopped_at, came_at, config.routes[route].kind)
     {
         return Err(refuse(Cause::Stopping));
     }
@@ -174,12 +174,12 @@
         Err(e) if e.is::<LengthLimitError>() => return Err(refuse(Cause::TooLarge)),
         Err(_) => return Err(refuse(Cause::Malformed)),
     };
-    let sender = account.as_ref().map_or("", Account::as_str);
-    let content = shared.digester.content(sender, &parts.method, &host, &parts.uri, &body);
+    let account_name = account.as_ref().map_or("", Account::as_str);
+    let content = shared.digester.content(account_name, &parts.method, &host, &parts.uri, &body);
     let times = time_bounds(shared, came_at, &config.routes[route], &caller);
     let target = Target { config, route, service };
     let mut intake = build_intake(times, target, parts, body, caller, content);
-    (intake.account, intake.weight) = (account, weight);
+    (intake.account, intake.cost) = (account, cost);
     Ok(intake)
 }
 
@@ -211,16 +211,16 @@
     let Some(account) = account else {
         return Ok((None, 0));
     };
-    let weight = account.quota.map_or(Some(0), |quota| quota.unit.weigh(caller.size));
-    Ok((Some(account.name.clone()), weight.ok_or(Cause::Malformed)?))
+    let cost = account.quota.map_or(Some(0), |quota| quota.unit.weigh(caller.size));
+    Ok((Some(account.name.clone()), cost.ok_or(Cause::Malformed)?))
 }
 
 /// Can a request that arrives now finish before the process exits?
-fn can_finish(shared: &Shared, asked: Timestamp, now: Timestamp, kind: Kind) -> bool {
+fn can_finish(shared: &Shared, stopped_at: Timestamp, now: Timestamp, kind: Kind) -> bool {
     match kind {
-        Kind::Stream => now < asked.after(STREAMS_ACCEPTED),
+        Kind::Stream => now < stopped_at.after(STREAMS_ACCEPTED),
         Kind::Idempotent | Kind::Once => {
-            now < asked.after(shared.node().bounds.grace).before(CALLS_TIME_LEFT)
+            now < stopped_at.after(shared.node().bounds.grace).before(CALLS_TIME_LEFT)
         }
     }
 }
@@ -245,12 +245,12 @@
     route: &Route,
     caller: &headers::Caller,
 ) -> TimeBounds {
-    let patience = caller.patience.unwrap_or(route.timeout);
+    let caller_timeout = caller.patience.unwrap_or(route.timeout);
     let mut deadlines = shared.patience.borrow_mut();
-    let spent = deadlines.spent(came_at, &route.name, route.timeout, patience);
+    let spent = deadlines.spent(came_at, &route.name, route.timeout, caller_timeout);
     TimeBounds {
         came_at,
-        ends_at: came_at.after(patience.min(route.timeout)),
+        ends_at: came_at.after(caller_timeout.min(route.timeout)),
         goal_at: came_at.before(spent).after(route.goal),
     }
 }
@@ -274,8 +274,8 @@
         uri: parts.uri,
         headers,
         account: None,
-        weight: 0,
-        ran: Cell::new(false),
+        cost: 0,
+        maybe_ran: Cell::new(false),
         arrivals: Cell::default(),
         caller,
         content,
@@ -298,45 +298,45 @@
     let route = &config.routes[route];
     let roster = shared.roster.borrow();
     let chosen = routes::service(route, shared.draw())?;
-    let alive = |name: &str| roster.ready(name).next().is_some();
-    if alive(chosen) {
+    let has_server = |name: &str| roster.ready(name).next().is_some();
+    if has_server(chosen) {
         return Some(chosen.to_owned());
     }
-    let other = route.split.iter().find(|s| s.weight > 0 && alive(&s.service));
+    let other = route.split.iter().find(|s| s.weight > 0 && has_server(&s.service));
     Some(other.map_or(chosen, |s| s.service.as_str()).to_owned())
 }
 
 /// Runs a request in its own task, which outlives the caller until its state is cleaned up.
 async fn process(shared: &Rc<Shared>, intake: Intake) -> Response<Body> {
-    let trial = match quarantine::admit(shared, &intake).await {
-        Ok(trial) => trial,
+    let probe = match quarantine::admit(shared, &intake).await {
+        Ok(probe) => probe,
         Err(refused) => return refused.response(shared.now()),
     };
     let charge = match quota::charge(shared, &intake).await {
         Ok(charge) => charge,
         Err(refused) => {
-            if let Some(trial) = trial {
-                trial.close(shared);
+            if let Some(probe) = probe {
+                probe.close(shared);
             }
             return refused.response(shared.now());
         }
     };
     let (token, gone) = oneshot::channel();
     let (reply, answer) = oneshot::channel();
-    let task = shared.clone();
+    let task_shared = shared.clone();
     shared.open.set(shared.open.get() + 1);
     compio::runtime::spawn(async move {
         match intake.route().kind {
-            Kind::Stream => stream::run(&task, &intake, gone, reply).await,
-            Kind::Idempotent | Kind::Once => call::run(&task, &intake, gone, reply).await,
+            Kind::Stream => stream::run(&task_shared, &intake, gone, reply).await,
+            Kind::Idempotent | Kind::Once => call::run(&task_shared, &intake, gone, reply).await,
         }
         if let Some(charge) = charge {
-            charge.close(&task, intake.ran.get());
+            charge.close(&task_shared, intake.maybe_ran.get());
         }
-        if let Some(trial) = trial {
-            trial.close(&task);
+        if let Some(probe) = probe {
+            probe.close(&task_shared);
         }
-        task.open.set(task.open.get() - 1);
+        task_shared.open.set(task_shared.open.get() - 1);
     })
     .detach();
     match answer.await {
--- a/crates/daemon/src/gateway/intake.rs
+++ b/crates/daemon/src/gateway/intake.rs
@@ -35,9 +35,9 @@
     /// The account that its key belongs to, if any.
     pub account: Option<Account>,
     /// Its cost against the account's quota; zero without a quota.
-    pub weight: u64,
+    pub cost: u64,
     /// Whether it may have begun to run at a backend server.
-    pub ran: Cell<bool>,
+    pub maybe_ran: Cell<bool>,
     /// Its sends to backend servers, as counted for the retry budget.
     pub arrivals: Cell<Arrivals>,
     /// The configuration that applies to it until it ends.
--- a/crates/daemon/src/gateway/keys.rs
+++ b/crates/daemon/src/gateway/keys.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use ebonyloft_core::ids::Account as Name;
+use ebonyloft_core::ids::Account as AccountName;
 use ebonyloft_platform::headers::Caller;
 use ebonyloft_router::accounts::{self, Account, Credential, Identity};
 use ebonyloft_router::catalog::{Config, Route};
@@ -42,8 +42,8 @@
         Identity::Unidentified => Err(Cause::Unauthorized),
         Identity::Unknown => {
             let age = shared.recency.borrow().age(shared.now()).saturating_sub(DEAF);
-            let known = age + UNKNOWN_KEY_MARGIN < shared.node().bounds.apply;
-            Err(if known { Cause::Unauthorized } else { Cause::Unconfirmed })
+            let is_known = age + UNKNOWN_KEY_MARGIN < shared.node().bounds.apply;
+            Err(if is_known { Cause::Unauthorized } else { Cause::Unconfirmed })
         }
     }
 }
@@ -58,7 +58,7 @@
     }
     let config = shared.config();
     let accounts = config.as_ref().and_then(|c| c.accounts.as_ref());
-    let held = match (accounts, &intake.caller.credential) {
+    let is_valid = match (accounts, &intake.caller.credential) {
         // Accounts were removed from the configuration: a request accepted under one may run.
         (None, _) => true,
         (Some(accounts), Credential::Key(key)) => {
@@ -66,7 +66,7 @@
         }
         (Some(_), _) => false,
     };
-    if held { Ok(()) } else { Err(Cause::Unauthorized) }
+    if is_valid { Ok(()) } else { Err(Cause::Unauthorized) }
 }
 
 /// Like `check`, but logs the cause and returns false if the request may not be sent.
@@ -78,7 +78,7 @@
     let age = shared.recency.borrow().age(shared.now()).as_millis() as u64;
     tracing::info!(
         id = intake.id(),
-        account = intake.account.as_ref().map(Name::as_str),
+        account = intake.account.as_ref().map(AccountName::as_str),
         ?cause,
         config,
         config_age = age,
@@ -95,13 +95,13 @@
 /// Time within which a revoked key must stop running work; `None` without such a bound or without
 /// accounts.
 pub fn bound(shared: &Shared) -> Option<Duration> {
-    let keyed = shared.config().is_some_and(|c| c.accounts.is_some());
-    shared.node().bounds.revoke.filter(|_| keyed)
+    let has_accounts = shared.config().is_some_and(|c| c.accounts.is_some());
+    shared.node().bounds.revoke.filter(|_| has_accounts)
 }
 
 /// Asks peers how old their configuration is while this gateway's may be stale.
 pub async fn keep_fresh(shared: std::rc::Rc<Shared>) {
-    let mut held = false;
+    let mut allowed = false;
     loop {
         compio::time::sleep(CHECK_INTERVAL).await;
         let Some(bound) = bound(&shared) else {
@@ -115,11 +115,11 @@
         }
         let age = shared.recency.borrow().age(shared.now()).as_millis() as u64;
         shared.metrics.gauge("gateway.config_age_ms", age);
-        if is_fresh(&shared) != held {
-            held = !held;
+        if is_fresh(&shared) != allowed {
+            allowed = !allowed;
             let config = shared.basis().config;
             tracing::info!(
-                held,
+                held = allowed,
                 config,
                 config_age = age,
                 "permission to run requests with keys changed"
@@ -134,22 +134,22 @@
     let (now, node) = (shared.now(), shared.node());
     let (fleet, shares) = (shared.fleet.borrow(), shared.shares.borrow());
     let others: Vec<_> = fleet.all().iter().filter(|(name, _)| **name != node.name).collect();
-    let heard = |name: &str| matches!(shares.link(now, name), Some(Link::Heard { .. }));
-    let follows: Vec<_> = others.iter().filter(|(name, _)| heard(name)).collect();
-    let near: Vec<_> = follows.iter().filter(|(_, g)| g.zone == node.zone).collect();
-    let draw = |len: usize| (shared.draw() * len as f64) as usize;
-    let mut asked = Vec::new();
-    if let Some((_, gateway)) = near.get(draw(near.len())) {
-        asked.push(gateway.addr);
-    } else if let Some((_, gateway)) = follows.get(draw(follows.len())) {
-        asked.push(gateway.addr);
+    let follows_store = |name: &str| matches!(shares.link(now, name), Some(Link::Heard { .. }));
+    let followers: Vec<_> = others.iter().filter(|(name, _)| follows_store(name)).collect();
+    let same_zone: Vec<_> = followers.iter().filter(|(_, g)| g.zone == node.zone).collect();
+    let random_index = |len: usize| (shared.draw() * len as f64) as usize;
+    let mut peers = Vec::new();
+    if let Some((_, gateway)) = same_zone.get(random_index(same_zone.len())) {
+        peers.push(gateway.addr);
+    } else if let Some((_, gateway)) = followers.get(random_index(followers.len())) {
+        peers.push(gateway.addr);
     }
-    if let Some((_, gateway)) = others.get(draw(others.len()))
-        && asked.is_empty()
+    if let Some((_, gateway)) = others.get(random_index(others.len()))
+        && peers.is_empty()
     {
-        asked.push(gateway.addr);
+        peers.push(gateway.addr);
     }
-    asked
+    peers
 }
 
 /// Answers a peer that asks how old the configuration is here.
@@ -160,9 +160,9 @@
 
 /// Handles a peer's answer about the age of its configuration.
 pub fn hear_age(shared: &Shared, number: u64, version: u64, age: u64) {
-    let theirs = Held { version, age: Duration::from_millis(age) };
-    let own = shared.basis().config;
-    shared.recency.borrow_mut().on_answer(number, own, theirs);
+    let peer_config = Held { version, age: Duration::from_millis(age) };
+    let own_version = shared.basis().config;
+    shared.recency.borrow_mut().on_answer(number, own_version, peer_config);
 }
 
 /// Version and age of this gateway's configuration.
--- a/crates/daemon/src/gateway/limits.rs
+++ b/crates/daemon/src/gateway/limits.rs
@@ -28,17 +28,20 @@
         return true;
     };
     let key = Key::Server(id.clone());
-    let taken = quota::acquire(shared, &key, need, Some(limit), 1).await;
-    if let Err(short) = taken {
-        let until = match short {
+    let acquired = quota::acquire(shared, &key, need, Some(limit), 1).await;
+    if let Err(shortage) = acquired {
+        let until = match shortage {
             Shortage::Over(at) => at.max(shared.now().after(BACKOFF_MIN)),
             Shortage::Unknown => shared.now().after(UNKNOWN_BACKOFF),
         };
         shared.borrower.borrow_mut().refused(&key, until, until);
-        tracing::info!(server = %id, limit = limit.0, need, ?short, "backend server skipped: its limit is used up or its owner silent");
+        tracing::info!(
+            server = %id, limit = limit.0, need, short = ?shortage,
+            "backend server skipped: its limit is used up or its owner silent"
+        );
         shared.metrics.count("gateway.limit.used_up", 1);
     }
-    taken.is_ok()
+    acquired.is_ok()
 }
 
 /// Until when a server's limit is known to be used up, if it is.
@@ -50,20 +53,20 @@
 
 /// Handles an answer to a request sent at `sent`, which names a limit or none.
 pub fn on_answer(shared: &Shared, id: &ServerId, sent: Timestamp, limit: Option<Limit>) {
-    let news = shared.limits.borrow_mut().answered(shared.now(), id, sent, limit);
-    if let Some(word) = news {
-        log_change(shared, &word, "answer");
-        shared.notes.borrow_mut().limits.push(word);
+    let update = shared.limits.borrow_mut().answered(shared.now(), id, sent, limit);
+    if let Some(report) = update {
+        log_change(shared, &report, "answer");
+        shared.notes.borrow_mut().limits.push(report);
         shared.inquiries.wake_all();
     }
 }
 
 /// Applies a peer's report of a server's limit.
-pub fn hear(shared: &Shared, word: &Named, peer: &str) {
+pub fn hear(shared: &Shared, report: &Named, peer: &str) {
     // Ignored for a server that is already gone, since nothing would remove its limit again.
-    let known = shared.roster.borrow().get(&word.server).is_some();
-    if known && shared.limits.borrow_mut().hear(shared.now(), word) {
-        log_change(shared, word, peer);
+    let known = shared.roster.borrow().get(&report.server).is_some();
+    if known && shared.limits.borrow_mut().hear(shared.now(), report) {
+        log_change(shared, report, peer);
     }
 }
 
@@ -75,9 +78,9 @@
     }
 }
 
-fn log_change(shared: &Shared, word: &Named, from: &str) {
+fn log_change(shared: &Shared, report: &Named, from: &str) {
     let Basis { roster, age, .. } = shared.basis();
-    let Named { server, version, limit } = word;
+    let Named { server, version, limit } = report;
     let limit = limit.map(|limit| limit.0);
     tracing::info!(%server, version, limit, from, roster, age, "limit of a backend server changed");
     shared.metrics.count("gateway.limit.changed", 1);
--- a/crates/daemon/src/gateway/pool.rs
+++ b/crates/daemon/src/gateway/pool.rs
@@ -135,10 +135,10 @@
         }
         conn.idle_since = self.clock.now();
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.entry(conn.addr).or_default();
-        kept.push(conn);
-        if kept.len() > IDLE_PER_ADDR {
-            kept.remove(0);
+        let idle_conns = idle.entry(conn.addr).or_default();
+        idle_conns.push(conn);
+        if idle_conns.len() > IDLE_PER_ADDR {
+            idle_conns.remove(0);
         }
     }
 
@@ -150,8 +150,8 @@
         req: Request<Bytes>,
         limit: Duration,
     ) -> Result<(StatusCode, Bytes), ExchangeError> {
-        let coming = self.ask(addr, req, limit).await?;
-        self.finish(coming, limit).await
+        let pending = self.ask(addr, req, limit).await?;
+        self.finish(pending, limit).await
     }
 
     /// Like `call`, and returns the answer's headers too.
@@ -161,9 +161,9 @@
         req: Request<Bytes>,
         limit: Duration,
     ) -> Result<(HeaderMap, StatusCode, Bytes), ExchangeError> {
-        let mut coming = self.ask(addr, req, limit).await?;
-        let headers = std::mem::take(coming.response.headers_mut());
-        let (status, body) = self.finish(coming, limit).await?;
+        let mut pending = self.ask(addr, req, limit).await?;
+        let headers = std::mem::take(pending.response.headers_mut());
+        let (status, body) = self.finish(pending, limit).await?;
         Ok((headers, status, body))
     }
 
@@ -174,8 +174,8 @@
         req: Request<Bytes>,
         limit: Duration,
     ) -> Result<Coming, ExchangeError> {
-        let begun = compio::time::timeout(limit, self.begin_exchange(addr, req)).await;
-        let (conn, response) = begun.unwrap_or(Err(ExchangeError::Lost))?;
+        let started = compio::time::timeout(limit, self.begin_exchange(addr, req)).await;
+        let (conn, response) = started.unwrap_or(Err(ExchangeError::Lost))?;
         Ok(Coming { conn, response, head_at: self.clock.now() })
     }
 
@@ -184,10 +184,10 @@
     /// of 32 used an old one for more than ten seconds.
     pub async fn finish(
         &self,
-        coming: Coming,
+        pending: Coming,
         limit: Duration,
     ) -> Result<(StatusCode, Bytes), ExchangeError> {
-        let Coming { conn, response, head_at } = coming;
+        let Coming { conn, response, head_at } = pending;
         let status = response.status();
         let mut body = BytesMut::new();
         let read =
@@ -232,19 +232,19 @@
     /// Closes connections that were idle for too long.
     pub fn expire(&self, now: Timestamp) {
         let mut idle = self.idle.borrow_mut();
-        for kept in idle.values_mut() {
-            kept.retain(|c| now.since(c.idle_since) < IDLE_MAX && !c.sender.is_closed());
+        for idle_conns in idle.values_mut() {
+            idle_conns.retain(|c| now.since(c.idle_since) < IDLE_MAX && !c.sender.is_closed());
         }
-        idle.retain(|_, kept| !kept.is_empty());
+        idle.retain(|_, idle_conns| !idle_conns.is_empty());
     }
 
     fn take_idle(&self, addr: SocketAddr, idle_max: Duration) -> Option<Conn> {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.get_mut(&addr)?;
-        kept.retain(|c| now.since(c.idle_since) < IDLE_MAX && !c.sender.is_closed());
+        let idle_conns = idle.get_mut(&addr)?;
+        idle_conns.retain(|c| now.since(c.idle_since) < IDLE_MAX && !c.sender.is_closed());
         // The most recently used one is the least likely to have been closed by the other end.
-        let conn = kept.pop()?;
+        let conn = idle_conns.pop()?;
         if now.since(conn.idle_since) <= idle_max && conn.sender.is_ready() {
             return Some(conn);
         }
@@ -285,14 +285,14 @@
 async fn read_body(
     mut body: Incoming,
     limit: Duration,
-    all: &mut BytesMut,
+    bytes: &mut BytesMut,
 ) -> Result<(), ExchangeError> {
     loop {
         match compio::time::timeout(limit, body.frame()).await {
             Ok(None) => return Ok(()),
             Ok(Some(Ok(frame))) => {
-                if let Ok(part) = frame.into_data() {
-                    all.extend_from_slice(&part);
+                if let Ok(data) = frame.into_data() {
+                    bytes.extend_from_slice(&data);
                 }
             }
             Ok(Some(Err(_))) | Err(_) => return Err(ExchangeError::Lost),
--- a/crates/daemon/src/gateway/quarantine.rs
+++ b/crates/daemon/src/gateway/quarantine.rs
@@ -111,9 +111,9 @@
     let (cause, until) = match standing {
         Standing::Free => return Ok(None),
         Standing::Suspect => {
-            let trial = Probe { content: intake.content, number: shared.draw_number() };
-            publish_fact(shared, trial.content, Fact::Trying(trial.number));
-            return Ok(Some(trial));
+            let probe = Probe { content: intake.content, number: shared.draw_number() };
+            publish_fact(shared, probe.content, Fact::Trying(probe.number));
+            return Ok(Some(probe));
         }
         Standing::Held(until) => (Cause::Suspect, until),
         Standing::Proved(until) => (Cause::Quarantined, until),
@@ -162,8 +162,8 @@
 pub fn note_loss(shared: &Shared, intake: &Intake, sent: Sent<'_>) {
     let (now, server) = (shared.now(), sent.server);
     // A server that announced its leaving was not crashed by the request.
-    let left = shared.roster.borrow().has_left(&server.id.name);
-    if left || shared.quarantine.borrow().is_sound(now, &intake.content) {
+    let is_leaving = shared.roster.borrow().has_left(&server.id.name);
+    if is_leaving || shared.quarantine.borrow().is_sound(now, &intake.content) {
         return;
     }
     let early = sent.run != Run::Advanced;
@@ -197,8 +197,8 @@
 }
 
 fn on_served(shared: &Shared, content: &Content) {
-    let tells = shared.quarantine.borrow_mut().served_here(shared.now(), *content);
-    if tells {
+    let is_new = shared.quarantine.borrow_mut().served_here(shared.now(), *content);
+    if is_new {
         publish_fact(shared, *content, Fact::Served);
     }
 }
@@ -238,7 +238,7 @@
 /// store's state is not trusted yet.
 pub fn note_joined(shared: &Shared, addr: SocketAddr, id: &ServerId) {
     let replaced = shared.losses.borrow().replaced(addr, id);
-    replaced.iter().for_each(|before| on_ended(shared, before, "address"));
+    replaced.iter().for_each(|previous| on_ended(shared, previous, "address"));
 }
 
 fn record_crashes(shared: &Shared, id: &ServerId, losses: Vec<Loss>, how: &'static str) {
@@ -264,31 +264,35 @@
 }
 
 /// Applies an observation made here and publishes it to all gateways.
-fn publish(shared: &Shared, word: Word) {
-    take(shared, &word, None);
-    shared.notes.borrow_mut().words.push(word);
+fn publish(shared: &Shared, report: Word) {
+    take(shared, &report, None);
+    shared.notes.borrow_mut().words.push(report);
     shared.inquiries.wake_all();
 }
 
 /// Applies an observation made here, or reported by a peer or the store.
-pub fn take(shared: &Shared, word: &Word, peer: Option<&str>) {
-    let change = shared.quarantine.borrow_mut().take(shared.now(), word);
-    let (content, fact, age) = (word.content, &word.fact, word.age);
+pub fn take(shared: &Shared, report: &Word, peer: Option<&str>) {
+    let change = shared.quarantine.borrow_mut().take(shared.now(), report);
+    let (content, fact, age) = (report.content, &report.fact, report.age);
     match change {
         Change::Nothing => {}
         Change::Suspected => {
             let endings = shared.quarantine.borrow().endings(&content).len();
-            tracing::info!(%content, ?fact, age, peer, endings, "request suspected of crashing servers");
-            let close = shared.quarantine.borrow().is_close(&content);
-            if close && (peer.is_none() || is_first_gateway(shared)) {
+            tracing::info!(
+                %content, ?fact, age, peer, endings, "request suspected of crashing servers"
+            );
+            let close_to_confirmed = shared.quarantine.borrow().is_close(&content);
+            if close_to_confirmed && (peer.is_none() || is_first_gateway(shared)) {
                 shared.proofs.borrow_mut().push(content);
             }
         }
         Change::Proved => {
             let quarantine = shared.quarantine.borrow();
-            let ended = quarantine.endings(&content).iter().map(|e| e.server.to_string());
-            let servers = ended.collect::<Vec<_>>().join(" ");
-            tracing::warn!(%content, ?fact, age, peer, servers, "request confirmed to crash servers");
+            let crashes = quarantine.endings(&content).iter().map(|e| e.server.to_string());
+            let servers = crashes.collect::<Vec<_>>().join(" ");
+            tracing::warn!(
+                %content, ?fact, age, peer, servers, "request confirmed to crash servers"
+            );
             shared.metrics.count("gateway.quarantine.proved", 1);
             if peer.is_none() || is_first_gateway(shared) {
                 shared.proofs.borrow_mut().push(content);
@@ -310,8 +314,9 @@
 pub async fn run(shared: Rc<Shared>) {
     loop {
         let now = shared.now();
-        let asks = shared.losses.borrow().next_ask().map_or(UPKEEP_INTERVAL, |at| at.since(now));
-        let timer = std::pin::pin!(compio::time::sleep(asks.min(UPKEEP_INTERVAL)));
+        let next_check =
+            shared.losses.borrow().next_ask().map_or(UPKEEP_INTERVAL, |at| at.since(now));
+        let timer = std::pin::pin!(compio::time::sleep(next_check.min(UPKEEP_INTERVAL)));
         if let Either::Left(_) = select(shared.inquiries.wake(), timer).await {
             start_checks(&shared);
             continue;
@@ -338,9 +343,9 @@
     for content in shared.quarantine.borrow_mut().expire(now) {
         tracing::info!(%content, "suspicion of a request expired");
     }
-    let (suspects, proved) = shared.quarantine.borrow().counts();
+    let (suspects, confirmed) = shared.quarantine.borrow().counts();
     shared.metrics.gauge("gateway.quarantine.suspects", suspects as u64);
-    shared.metrics.gauge("gateway.quarantine.contents", proved as u64);
+    shared.metrics.gauge("gateway.quarantine.contents", confirmed as u64);
 }
 
 /// Checks whether a server is alive.
@@ -349,9 +354,9 @@
         return;
     }
     let sent = shared.now();
-    let reached =
+    let result =
         timeout(LIVENESS_TIMEOUT, shared.pool.check_address(addr, engine::report(&id))).await;
-    let found = match reached {
+    let found = match result {
         Ok(Reachability::Answered(StatusCode::MISDIRECTED_REQUEST)) => Found::Other,
         Ok(Reachability::Answered(_)) => Found::Alive,
         Ok(Reachability::Refused) => Found::Nobody,
@@ -376,29 +381,29 @@
 /// Writes the record of a confirmed request, or of one close to that, to the store; repeated on
 /// failure while the request stays so. On a conflict another gateway has written it.
 async fn store_record(shared: Rc<Shared>, content: Content) {
-    let mut pause = WRITE_BACKOFF;
+    let mut backoff = WRITE_BACKOFF;
     while should_store(&shared, &content) {
         match try_store_record(&shared, content).await {
             Ok(()) | Err(StoreError::Conflict) => return,
             Err(e) => tracing::info!(%content, error = %e, "quarantine record not written"),
         }
-        compio::time::sleep(pause.mul_f64(0.5 + shared.draw())).await;
-        pause = (pause * 2).min(WRITE_BACKOFF_MAX);
+        compio::time::sleep(backoff.mul_f64(0.5 + shared.draw())).await;
+        backoff = (backoff * 2).min(WRITE_BACKOFF_MAX);
     }
 }
 
 async fn try_store_record(shared: &Shared, content: Content) -> Result<(), StoreError> {
-    let (prefix, life) = match is_proved(shared, &content) {
+    let (prefix, ttl) = match is_proved(shared, &content) {
         true => (PREFIX, PROVED_LIFE),
         false => (SUSPECTS, SUSPECT_LIFE),
     };
     let key = format!("{prefix}{:016x}{:016x}", content.0, content.1);
-    let ended = shared.quarantine.borrow().endings(&content).to_vec();
-    let servers = ended.iter().map(|e| e.server.to_string()).collect();
-    let endings = ended.into_iter().map(|e| (e.server, e.early, e.at)).collect();
+    let crashes = shared.quarantine.borrow().endings(&content).to_vec();
+    let servers = crashes.iter().map(|e| e.server.to_string()).collect();
+    let endings = crashes.into_iter().map(|e| (e.server, e.early, e.at)).collect();
     let record = Record { servers, endings, by: shared.node().name.clone(), release: false };
     let value = serde_json::to_vec(&record).expect("plain strings serialise");
-    let lease = shared.store.lease(life).await?;
+    let lease = shared.store.lease(ttl).await?;
     let write = Write { key: &key, value: &value, lease: lease.id };
     let written = shared.store.txn(&[(&key, 0)], &[write]).await;
     if matches!(written, Err(StoreError::Conflict)) {
@@ -430,7 +435,9 @@
             Ok(_) => Fact::Proved,
             Err(e) => {
                 let revision = item.revision;
-                return tracing::warn!(key = item.key, revision, error = %e, "invalid quarantine record");
+                return tracing::warn!(
+                    key = item.key, revision, error = %e, "invalid quarantine record"
+                );
             }
         };
         if fact == Fact::Proved && is_proved(&self.0, &content) {
@@ -447,8 +454,8 @@
         };
         for (server, early, at) in record.endings {
             let age = self.0.now().since(at).as_millis() as u64;
-            let word = Word { content, age, fact: Fact::Ended(server, early) };
-            take(&self.0, &word, Some("store"));
+            let report = Word { content, age, fact: Fact::Ended(server, early) };
+            take(&self.0, &report, Some("store"));
         }
     }
 }
--- a/crates/daemon/src/gateway/quota.rs
+++ b/crates/daemon/src/gateway/quota.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use ebonyloft_core::config::Rate;
-use ebonyloft_core::ids::Account as Name;
+use ebonyloft_core::ids::Account as AccountName;
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_core::verdict::Verdict;
 use ebonyloft_router::accounts::{Account, Quota};
@@ -63,13 +63,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Refused {
     cause: Cause,
-    back_at: Timestamp,
+    retry_at: Timestamp,
 }
 
 impl Refused {
     /// The caller's answer, which says that the request did not run.
     pub fn response(self, now: Timestamp) -> Response<Body> {
-        answer::refusal(self.cause, Verdict::NotRun, Some(self.back_at.since(now).max(RETRY_MIN)))
+        answer::refusal(self.cause, Verdict::NotRun, Some(self.retry_at.since(now).max(RETRY_MIN)))
     }
 }
 
@@ -84,16 +84,16 @@
 
 /// Charges a request's cost to its account's quota, from tokens held here or from the owner.
 pub async fn charge(shared: &Shared, intake: &Intake) -> Result<Option<Charge>, Refused> {
-    let (Some(account), tokens @ 1..) = (intake.account.clone(), intake.weight) else {
+    let (Some(account), tokens @ 1..) = (intake.account.clone(), intake.cost) else {
         return Ok(None);
     };
     let key = Key::Account(account);
     match acquire(shared, &key, tokens, None, ATTEMPTS_MAX).await {
         Ok(()) => Ok(Some(Charge { key, tokens })),
-        Err(Shortage::Over(back_at)) => Err(refuse(shared, intake, Cause::OverQuota, back_at)),
+        Err(Shortage::Over(retry_at)) => Err(refuse(shared, intake, Cause::OverQuota, retry_at)),
         Err(Shortage::Unknown) => {
-            let back_at = shared.now().after(OWNER_LOST_RETRY.mul_f64(0.5 + shared.draw()));
-            Err(refuse(shared, intake, Cause::QuotaUnknown, back_at))
+            let retry_at = shared.now().after(OWNER_LOST_RETRY.mul_f64(0.5 + shared.draw()));
+            Err(refuse(shared, intake, Cause::QuotaUnknown, retry_at))
         }
     }
 }
@@ -105,7 +105,7 @@
     key: &Key,
     need: u64,
     limit: Option<Limit>,
-    asks: usize,
+    attempts: usize,
 ) -> Result<(), Shortage> {
     if shared.borrower.borrow_mut().take(shared.now(), key, need) {
         return Ok(());
@@ -115,45 +115,45 @@
     // more.
     let more = shared.borrower.borrow().more(key);
     let ask = Ask { number: shared.draw_number(), key: key.clone(), need, more, limit };
-    let asked = shared.now();
-    for _ in 0..asks {
-        let over = shared.borrower.borrow().over(shared.now(), key);
-        if let Some((_, back_at)) = over {
-            return Err(Shortage::Over(back_at));
+    let asked_at = shared.now();
+    for _ in 0..attempts {
+        let used_up = shared.borrower.borrow().over(shared.now(), key);
+        if let Some((_, retry_at)) = used_up {
+            return Err(Shortage::Over(retry_at));
         }
         match ask_owner(shared, &ask).await {
             Some(Reply::Lent(tokens)) => {
                 let mut borrower = shared.borrower.borrow_mut();
-                borrower.lent(key, asked, tokens);
+                borrower.lent(key, asked_at, tokens);
                 if borrower.take_lent(shared.now(), key, need) {
                     return Ok(());
                 }
             }
             Some(Reply::Over { room, back }) => {
                 let now = shared.now();
-                let after = |ms: u32| now.after(Duration::from_millis(ms.into()));
-                shared.borrower.borrow_mut().refused(key, after(room), after(back));
-                return Err(Shortage::Over(after(back)));
+                let after_ms = |ms: u32| now.after(Duration::from_millis(ms.into()));
+                shared.borrower.borrow_mut().refused(key, after_ms(room), after_ms(back));
+                return Err(Shortage::Over(after_ms(back)));
             }
-            Some(Reply::Elsewhere) if asks > 1 => compio::time::sleep(OWNER_TIMEOUT).await,
+            Some(Reply::Elsewhere) if attempts > 1 => compio::time::sleep(OWNER_TIMEOUT).await,
             Some(Reply::Elsewhere) => {}
             None => unanswered += 1,
         }
     }
-    if let Some(home) = owner(shared, key).filter(|_| unanswered == asks) {
-        skip_owner(shared, key, &home);
+    if let Some(owner_name) = owner(shared, key).filter(|_| unanswered == attempts) {
+        skip_owner(shared, key, &owner_name);
     }
     Err(Shortage::Unknown)
 }
 
-fn refuse(shared: &Shared, intake: &Intake, cause: Cause, back_at: Timestamp) -> Refused {
-    let account = intake.account.as_ref().map(Name::as_str);
-    let ms = back_at.since(shared.now()).as_millis() as u64;
+fn refuse(shared: &Shared, intake: &Intake, cause: Cause, retry_at: Timestamp) -> Refused {
+    let account = intake.account.as_ref().map(AccountName::as_str);
+    let ms = retry_at.since(shared.now()).as_millis() as u64;
     let Basis { config, roster, age } = shared.basis();
     tracing::info!(
         id = intake.id(),
         account,
-        weight = intake.weight,
+        weight = intake.cost,
         ?cause,
         ms,
         config,
@@ -166,16 +166,16 @@
         _ => "gateway.quota.unknown",
     };
     shared.metrics.count(counter, 1);
-    Refused { cause, back_at }
+    Refused { cause, retry_at }
 }
 
 /// Sends a request for tokens to the owner, which may be this gateway.
 async fn ask_owner(shared: &Shared, ask: &Ask) -> Option<Reply> {
-    let home = owner(shared, &ask.key)?;
-    if home == shared.node().name {
+    let owner_name = owner(shared, &ask.key)?;
+    if owner_name == shared.node().name {
         return Some(grant(shared, ask));
     }
-    let addr = shared.fleet.borrow().all().get(&home)?.addr;
+    let addr = shared.fleet.borrow().all().get(&owner_name)?.addr;
     let (sender, reply) = oneshot::channel();
     shared.asked.borrow_mut().insert(ask.number, sender);
     shared.post(addr, News::Ask(ask.clone()));
@@ -185,10 +185,10 @@
 }
 
 /// Skips an owner that did not answer several times, which lost datagrams alone hardly explain.
-fn skip_owner(shared: &Shared, key: &Key, home: &str) {
-    tracing::info!(?key, home, "owner of a quota or limit does not answer");
+fn skip_owner(shared: &Shared, key: &Key, owner_name: &str) {
+    tracing::info!(?key, home = owner_name, "owner of a quota or limit does not answer");
     let until = shared.now().after(SILENT_BACKOFF);
-    shared.silent.borrow_mut().insert(gateway_number(home), until);
+    shared.silent.borrow_mut().insert(gateway_number(owner_name), until);
 }
 
 /// Answers a peer's request for tokens.
@@ -208,38 +208,38 @@
 /// Returns tokens that would expire unused. If the datagram is lost, they are granted to no
 /// gateway.
 fn return_unused(shared: &Shared, key: &Key, tokens: u64) {
-    let Some(home) = owner(shared, key) else {
+    let Some(owner_name) = owner(shared, key) else {
         return;
     };
-    if home == shared.node().name {
+    if owner_name == shared.node().name {
         return take_back(shared, key, tokens);
     }
-    if let Some(gateway) = shared.fleet.borrow().all().get(&home) {
+    if let Some(gateway) = shared.fleet.borrow().all().get(&owner_name) {
         shared.post(gateway.addr, News::Unused(key.clone(), tokens));
     }
 }
 
 /// Takes back tokens that a peer did not use.
 pub fn take_back(shared: &Shared, key: &Key, tokens: u64) {
-    if let Some(bound) = rate_of(shared, key, None) {
-        let part = granted_share(shared, key, &bound);
-        shared.lender.borrow_mut().take_back(key, tokens, part);
+    if let Some(rate) = rate_of(shared, key, None) {
+        let share = granted_share(shared, key, &rate);
+        shared.lender.borrow_mut().take_back(key, tokens, share);
     }
 }
 
 fn grant(shared: &Shared, ask: &Ask) -> Reply {
     limits::learn_from_request(shared, &ask.key, ask.limit);
-    let Some(bound) = rate_of(shared, &ask.key, ask.limit) else {
+    let Some(rate) = rate_of(shared, &ask.key, ask.limit) else {
         return Reply::Elsewhere;
     };
     let (now, node) = (shared.now(), shared.node());
-    let part = granted_share(shared, &ask.key, &bound);
+    let share = granted_share(shared, &ask.key, &rate);
     let fleet = shared.fleet.borrow();
     let ranked = shared.homes.borrow_mut().ranked(&fleet, &ask.key);
-    let first = ranked.first() == Some(&node.name);
+    let is_first = ranked.first() == Some(&node.name);
     let mut lender = shared.lender.borrow_mut();
     lender.tick(now, fleet.edition());
-    let reply = lender.lend(now, ask, &bound, part, first);
+    let reply = lender.lend(now, ask, &rate, share, is_first);
     let level = lender.level(&ask.key).unwrap_or_default();
     let config = shared.basis().config;
     match reply {
@@ -248,9 +248,9 @@
             key = ?ask.key,
             need = ask.need,
             level,
-            part,
-            rate = bound.rate,
-            burst = bound.burst,
+            part = share,
+            rate = rate.rate,
+            burst = rate.burst,
             ?reply,
             config,
             "tokens not granted"
@@ -261,12 +261,12 @@
 
 /// The rate of a quota or limit; for a server's limit, the stricter of the known and the reported
 /// one.
-fn rate_of(shared: &Shared, key: &Key, told: Option<Limit>) -> Option<Rate> {
+fn rate_of(shared: &Shared, key: &Key, reported: Option<Limit>) -> Option<Rate> {
     match key {
         Key::Account(account) => Some(quota(shared, account)?.bound),
         Key::Server(id) => {
             let known = shared.limits.borrow().of(id);
-            Some(known.into_iter().chain(told).min()?.rate())
+            Some(known.into_iter().chain(reported).min()?.rate())
         }
     }
 }
@@ -279,7 +279,7 @@
     }
 }
 
-fn quota(shared: &Shared, account: &Name) -> Option<Quota> {
+fn quota(shared: &Shared, account: &AccountName) -> Option<Quota> {
     let config = shared.config()?;
     let account: &Account = config.accounts.as_ref()?.named(account)?;
     account.quota
@@ -288,16 +288,16 @@
 /// The owner to ask, among the gateways that this one receives messages from.
 fn owner(shared: &Shared, key: &Key) -> Option<String> {
     let fleet = shared.fleet.borrow();
-    let mut missing = missing(shared);
+    let mut excluded = missing(shared);
     let silent = shared.silent.borrow();
-    missing.extend(
+    excluded.extend(
         silent.iter().filter(|(_, until)| **until > shared.now()).map(|(number, _)| number),
     );
-    shared.homes.borrow_mut().home(&fleet, key, &missing)
+    shared.homes.borrow_mut().home(&fleet, key, &excluded)
 }
 
 /// The share of a quota or limit that this gateway grants.
-fn granted_share(shared: &Shared, key: &Key, bound: &Rate) -> f64 {
+fn granted_share(shared: &Shared, key: &Key, rate: &Rate) -> f64 {
     let (now, node, fleet) = (shared.now(), shared.node(), shared.fleet.borrow());
     let mut homes = shared.homes.borrow_mut();
     if shared.scope() == Scope::Zone {
@@ -306,14 +306,14 @@
         let ranked = homes.ranked(&fleet, key);
         return match ranked.iter().position(|name| *name == node.name) {
             Some(0) => 1.0,
-            Some(1) => spare(bound, &excess(shared, key)),
+            Some(1) => spare(rate, &excess(shared, key)),
             _ => 0.0,
         };
     }
     let shares = shared.shares.borrow();
-    let own = missing(shared);
-    let votes = ObservedViews { now, name: &node.name, own: &own, shares: &shares };
-    homes.part(&fleet, key, &node.name, &votes)
+    let own_unreachable = missing(shared);
+    let views = ObservedViews { now, name: &node.name, own: &own_unreachable, shares: &shares };
+    homes.part(&fleet, key, &node.name, &views)
 }
 
 /// Gateways that this one receives no messages from.
@@ -333,10 +333,10 @@
     unused.iter().for_each(|(key, tokens)| return_unused(shared, key, *tokens));
     shared.borrower.borrow_mut().expire(now);
     shared.lender.borrow_mut().tick(now, shared.fleet.borrow().edition());
-    let lends = |key: &Key| {
-        rate_of(shared, key, None).is_some_and(|bound| granted_share(shared, key, &bound) > 0.0)
+    let is_granted = |key: &Key| {
+        rate_of(shared, key, None).is_some_and(|rate| granted_share(shared, key, &rate) > 0.0)
     };
-    shared.lender.borrow_mut().retain(lends);
+    shared.lender.borrow_mut().retain(is_granted);
     shared.silent.borrow_mut().retain(|_, until| *until > now);
 }
 
--- a/crates/daemon/src/gateway/retries.rs
+++ b/crates/daemon/src/gateway/retries.rs
@@ -16,21 +16,22 @@
 /// Reserves what the next send may cost; false if too little of the budget is left.
 pub fn afford(shared: &Shared, intake: &Intake, next: Next) -> bool {
     let mut arrivals = intake.arrivals.get();
-    let Some(lack) = arrivals.lacks(next) else {
+    let Some(shortfall) = arrivals.lacks(next) else {
         return true;
     };
     let (now, node, entries) = (shared.now(), shared.node(), shared.entries());
     let mut budget = shared.budget(&intake.service);
-    let granted = budget.hold(now, &node.bounds, entries, lack);
-    let (requests, extras, held) = budget.counts();
+    let granted = budget.hold(now, &node.bounds, entries, shortfall);
+    let (requests, extras, reserved) = budget.counts();
     if granted {
-        arrivals.take(lack);
+        arrivals.take(shortfall);
         intake.arrivals.set(arrivals);
     }
     if !granted || arrivals.count() > 0 {
         tracing::info!(
-            id = intake.id(), service = %intake.service, ?next, arrivals = arrivals.count(), ?lack,
-            granted, requests, extras, held, entries, "retry budget checked"
+            id = intake.id(), service = %intake.service, ?next, arrivals = arrivals.count(),
+            lack = ?shortfall, granted, requests, extras, held = reserved, entries,
+            "retry budget checked"
         );
         let counter = if granted { "gateway.extra.granted" } else { "gateway.extra.refused" };
         shared.metrics.count(counter, 1);
@@ -57,19 +58,19 @@
     if update_arrivals(intake, Arrivals::accept) {
         shared.budget(&intake.service).take_back();
     }
-    let spare = update_arrivals(intake, Arrivals::spare);
-    shared.budget(&intake.service).release(spare);
+    let unneeded = update_arrivals(intake, Arrivals::spare);
+    shared.budget(&intake.service).release(unneeded);
 }
 
 /// Ends a request and releases what it still has reserved.
 pub fn close(shared: &Shared, intake: &Intake) {
-    let held = intake.arrivals.take().close();
-    shared.budget(&intake.service).release(held);
+    let reserved = intake.arrivals.take().close();
+    shared.budget(&intake.service).release(reserved);
 }
 
 fn update_arrivals<T>(intake: &Intake, step: impl FnOnce(&mut Arrivals) -> T) -> T {
     let mut arrivals = intake.arrivals.get();
-    let changed = step(&mut arrivals);
+    let result = step(&mut arrivals);
     intake.arrivals.set(arrivals);
-    changed
+    result
 }
--- a/crates/daemon/src/gateway/send.rs
+++ b/crates/daemon/src/gateway/send.rs
@@ -66,7 +66,10 @@
         return Err(Fate::Unsent);
     }
     if quarantine::is_proved(shared, &intake.content) {
-        tracing::info!(id = intake.id(), content = %intake.content, server = %to.id, "not sent: confirmed to crash servers");
+        tracing::info!(
+            id = intake.id(), content = %intake.content, server = %to.id,
+            "not sent: confirmed to crash servers"
+        );
         shared.pool.give(conn);
         return Err(Fate::Unsent);
     }
@@ -74,17 +77,18 @@
         shared.pool.give(conn);
         return Err(Fate::Unsent);
     }
-    let sent = shared.now();
+    let sent_at = shared.now();
     // The request counts as run from here on, even if its caller disconnects before the outcome is
     // known.
-    let ran = intake.ran.replace(intake.ran.get() || expect == Expect::Signature);
+    let ran_before =
+        intake.maybe_ran.replace(intake.maybe_ran.get() || expect == Expect::Signature);
     retries::commit(shared, intake);
     let response = match conn.exchange(req).await {
         Ok(response) => response,
         Err(e) => {
             conn.close();
             if matches!(e, ExchangeError::Unsent) {
-                intake.ran.set(ran);
+                intake.maybe_ran.set(ran_before);
                 retries::undo_commit(shared, intake);
             }
             return Err(exchange_outcome(e));
@@ -92,12 +96,12 @@
     };
     let reply = headers::reply(response.status(), response.headers());
     if reply.not_run {
-        intake.ran.set(ran);
+        intake.maybe_ran.set(ran_before);
     }
     if !reply.moved {
-        quarantine::on_alive(shared, &to.id, sent);
+        quarantine::on_alive(shared, &to.id, sent_at);
     }
-    said::on_answer(shared, &to.id, sent, &reply);
+    said::on_answer(shared, &to.id, sent_at, &reply);
     Ok(Head { reply, response, conn })
 }
 
@@ -119,28 +123,28 @@
     limit: Duration,
     expect: Expect,
 ) -> (Fate, Option<Whole>) {
-    let sent = async {
+    let attempt = async {
         let head = head(shared, intake, to, req, expect).await?;
         let Head { mut reply, response, conn } = head;
         reply.stamped |= expect == Expect::Handle;
-        let fate = Fate::of(&reply, intake.caller.attempt.as_deref());
+        let outcome = Fate::of(&reply, intake.caller.attempt.as_deref());
         let (status, headers) = (response.status(), headers::returned(response.headers()));
         let body = match response.into_body().collect().await {
             Ok(body) => body.to_bytes(),
             // A rejection is known from its head alone.
-            Err(_) if fate == Fate::Rejected || fate == Fate::Moved => Bytes::new(),
+            Err(_) if outcome == Fate::Rejected || outcome == Fate::Moved => Bytes::new(),
             Err(_) => return Err(Fate::Lost),
         };
-        if fate == Fate::Lost {
+        if outcome == Fate::Lost {
             conn.close();
         } else {
             shared.pool.give(conn);
         }
-        Ok((fate, Whole { status, headers, body, reply }))
+        Ok((outcome, Whole { status, headers, body, reply }))
     };
-    match compio::time::timeout(limit, sent).await {
-        Ok(Ok((fate, whole))) => (fate, Some(whole)),
-        Ok(Err(fate)) => (fate, None),
+    match compio::time::timeout(limit, attempt).await {
+        Ok(Ok((outcome, answer))) => (outcome, Some(answer)),
+        Ok(Err(outcome)) => (outcome, None),
         Err(_) => (Fate::Lost, None),
     }
 }
--- a/crates/daemon/src/gateway/uploads.rs
+++ b/crates/daemon/src/gateway/uploads.rs
@@ -34,35 +34,35 @@
 
 /// Permission for one upload.
 pub struct Upload {
-    _counts: Arc<()>,
+    _guard: Arc<()>,
 }
 
 impl Uploads {
     /// Permission for one more upload over a link of so many Mbit/s, if the link can carry it.
-    pub fn begin(&self, now: Timestamp, link: u32) -> Option<Upload> {
-        let most = match link {
+    pub fn begin(&self, now: Timestamp, link_mbits: u32) -> Option<Upload> {
+        let max_open = match link_mbits {
             0 => UNKNOWN_LINK_MAX,
-            link => (link / MBITS_PER_UPLOAD).max(1) as usize,
+            link_mbits => (link_mbits / MBITS_PER_UPLOAD).max(1) as usize,
         };
         let mut open = self.open.borrow_mut();
         open.retain(|o| o.until > now && o.upload.strong_count() > 0);
-        if open.len() >= most {
+        if open.len() >= max_open {
             return None;
         }
-        let counts = Arc::new(());
+        let guard = Arc::new(());
         // By then the peer has given up, though a silent connection does not show it.
-        open.push(OpenUpload { upload: Arc::downgrade(&counts), until: now.after(BODY_TIMEOUT) });
-        Some(Upload { _counts: counts })
+        open.push(OpenUpload { upload: Arc::downgrade(&guard), until: now.after(BODY_TIMEOUT) });
+        Some(Upload { _guard: guard })
     }
 }
 
 impl Upload {
     /// A body of these bytes; the upload counts until the last of them is handed to the connection.
     pub fn body(self, bytes: Bytes) -> http::Body {
-        let parts = stream::unfold((self, bytes), |(upload, mut left)| async move {
-            let part = left.split_to(left.len().min(CHUNK));
-            (!part.is_empty()).then_some((part, (upload, left)))
+        let chunks = stream::unfold((self, bytes), |(upload, mut rest)| async move {
+            let chunk = rest.split_to(rest.len().min(CHUNK));
+            (!chunk.is_empty()).then_some((chunk, (upload, rest)))
         });
-        http::streamed(parts)
+        http::streamed(chunks)
     }
 }
