--- a/crates/daemon/src/gateway/keys.rs
+++ b/crates/daemon/src/gateway/keys.rs
@@ -42,8 +42,8 @@
         Identity::Unidentified => Err(Cause::Unauthorized),
         Identity::Unknown => {
             let age = shared.recency.borrow().age(shared.now()).saturating_sub(DEAF);
-            let is_known = age + UNKNOWN_KEY_MARGIN < shared.node().bounds.apply;
-            Err(if is_known { Cause::Unauthorized } else { Cause::Unconfirmed })
+            let is_certain = age + UNKNOWN_KEY_MARGIN < shared.node().bounds.apply;
+            Err(if is_certain { Cause::Unauthorized } else { Cause::Unconfirmed })
         }
     }
 }
--- a/crates/daemon/tests/pool.rs
+++ b/crates/daemon/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Calls over slow links: steady answers are read whole, silent ones are given up.
+//! Calls over slow links: a steady answer is read to its end, a stalled one times out.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -13,7 +13,7 @@
 const LIMIT: Duration = Duration::from_millis(300);
 const PARTS: usize = 20;
 
-/// Answers one call with twenty parts, 50 ms apart, and falls silent after some of them.
+/// Answers one call with up to twenty parts, 50 ms apart, and stalls after `parts` of them.
 fn slow_server(parts: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let addr = listener.local_addr().expect("an address");
@@ -42,15 +42,15 @@
     })
 }
 
-/// It takes more than three times the limit, and never pauses for as long.
+/// The answer takes more than three times the limit, and no pause in it is as long as the limit.
 #[test]
-fn an_answer_that_comes_steadily_is_read_whole() {
+fn a_slow_steady_answer_is_read_to_its_end() {
     assert_eq!(call(slow_server(PARTS)), Ok(PARTS * 10));
 }
 
 #[test]
-fn an_answer_that_falls_silent_is_given_up() {
-    let began = Instant::now();
+fn a_stalled_answer_times_out() {
+    let started = Instant::now();
     assert_eq!(call(slow_server(3)), Err(ExchangeError::Lost));
-    assert!(began.elapsed() < Duration::from_millis(1_500), "{:?}", began.elapsed());
+    assert!(started.elapsed() < Duration::from_millis(1_500), "{:?}", started.elapsed());
 }
