--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -1,7 +1,7 @@
-//! The gateway: everything between callers and backend servers, on an entry VM.
+//! The gateway, which forwards callers' requests to backend servers. It runs on an entry VM.
 //!
-//! It holds nothing that must last. What it believes comes from the platform's store and from its
-//! peers; what it decides is in `ebonyloft-router`; what the wire calls things is in
+//! It keeps no persistent state. Its view of the system comes from the platform's store and from
+//! peer gateways. Decisions are made in `ebonyloft-router`; the names on the wire are defined in
 //! `ebonyloft-platform`.
 
 pub mod answer;
@@ -51,31 +51,31 @@
 use crate::metrics::{Metrics, Registry};
 use crate::{http, logs};
 
-/// Shortest time from a stop to the end: the platform notices after two readiness checks, one a
-/// second, and a margin.
-const LINGER: Duration = Duration::from_millis(3_000);
-/// Left of the grace period when the last streams are broken off.
-const LAST_MARGIN: Duration = Duration::from_millis(300);
-/// Pause between two looks at what is still open while stopping.
-const STOP_LOOK: Duration = Duration::from_millis(50);
-/// Pause between two rounds of upkeep: beliefs that settle, connections that idle.
-const UPKEEP: Duration = Duration::from_millis(250);
-/// Upkeep rounds between two looks at the settings file.
+/// Shortest time between the stop signal and the exit: the platform notices after two readiness
+/// checks, one a second; the rest is a margin.
+const MIN_SHUTDOWN: Duration = Duration::from_millis(3_000);
+/// Time before the end of the grace period at which the remaining streams are cut off.
+const CUTOFF_MARGIN: Duration = Duration::from_millis(300);
+/// Interval between checks for open requests while stopping.
+const STOP_POLL: Duration = Duration::from_millis(50);
+/// Interval between upkeep rounds.
+const UPKEEP_INTERVAL: Duration = Duration::from_millis(250);
+/// Upkeep rounds between two reads of the settings file.
 const RELOAD_ROUNDS: u64 = 8;
 
-/// A gateway's own settings.
+/// Options of a gateway process.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The platform's settings file.
+    /// Path of the platform's settings file.
     pub file: PathBuf,
     /// Port of the metrics page.
     pub metrics_port: u16,
-    /// Key of the digests of what requests ask for; the same at all gateways.
+    /// Key of the keyed request digests; the same at all gateways.
     pub digest_key: String,
 }
 
-/// Runs until `stop` resolves and everything under way has ended; `hup` gives a message for each
-/// signal that the settings file changed.
+/// Runs until `stop` resolves and all open requests have ended. `hup` handles the signals that
+/// announce a changed settings file.
 pub async fn run(
     node: Node,
     options: Options,
@@ -89,26 +89,26 @@
     let shared = Shared::new(node, clock, rng, metrics, digester);
     let node = shared.node();
     let (close, closing) = oneshot::channel();
-    start(&shared, &node, &options, registry, closing.shared(), hup).await?;
+    start_tasks(&shared, &node, &options, registry, closing.shared(), hup).await?;
     tracing::info!(name = %node.name, zone = %node.zone, version = env!("CARGO_PKG_VERSION"), "started");
     stop.await;
-    let asked = shared.now();
-    shared.stopping.set(Some(asked));
+    let stopped_at = shared.now();
+    shared.stopping.set(Some(stopped_at));
     tracing::info!(open = shared.open.get(), "stopping");
-    compio::time::sleep(LINGER).await;
-    let end = asked.after(node.bounds.grace).before(LAST_MARGIN);
+    compio::time::sleep(MIN_SHUTDOWN).await;
+    let end = stopped_at.after(node.bounds.grace).before(CUTOFF_MARGIN);
     while shared.open.get() > 0 && shared.now() < end {
-        compio::time::sleep(STOP_LOOK).await;
+        compio::time::sleep(STOP_POLL).await;
     }
-    // Until now callers were taken, since others may be stopping too. Connections without a request
-    // are closed first, the others behind their answers.
+    // Callers were accepted until now, since other gateways may be stopping too. Idle connections
+    // are closed first, the others after their answers.
     let _ = close.send(());
-    compio::time::sleep(STOP_LOOK).await;
+    compio::time::sleep(STOP_POLL).await;
     tracing::info!(open = shared.open.get(), "stopped");
     Ok(())
 }
 
-async fn start(
+async fn start_tasks(
     shared: &Rc<Shared>,
     node: &Node,
     options: &Options,
@@ -116,18 +116,18 @@
     closing: ingress::Closing,
     hup: impl Future<Output = ()> + 'static,
 ) -> io::Result<()> {
-    let missing = || io::Error::other("the settings name no address for callers");
-    let callers = TcpListener::bind(node.callers.ok_or_else(missing)?).await?;
+    let no_address = || io::Error::other("the settings have no address for callers");
+    let callers = TcpListener::bind(node.callers.ok_or_else(no_address)?).await?;
     let peer_addr = SocketAddr::from((node.ip, node.peer_port));
     let peers = TcpListener::bind(peer_addr).await?;
     let socket = Rc::new(UdpSocket::bind(peer_addr).await?);
     if let Some(addr) = node.ready {
         let ready = TcpListener::bind(addr).await?;
         let me = shared.clone();
-        spawn(http::serve(ready, move |req| readiness(me.clone(), req), never()));
+        spawn(http::serve(ready, move |req| readiness(me.clone(), req), never_closing()));
     }
     let page = TcpListener::bind((node.ip, options.metrics_port)).await?;
-    spawn(http::serve(page, move |_| metrics_page(registry.clone()), never()));
+    spawn(http::serve(page, move |_| metrics_page(registry.clone()), never_closing()));
     spawn(ingress::serve(shared.clone(), callers, closing));
     let sink = Box::new(watch::Prefixes::new(shared));
     spawn(watch::follow(shared.clone(), watch::EVERYTHING, sink));
@@ -137,7 +137,7 @@
     spawn(peers::tell_zones(shared.clone(), socket.clone()));
     spawn(notes::tell(shared.clone(), socket.clone()));
     spawn(peers::post(shared.clone(), socket.clone()));
-    spawn(keys::keep_recent(shared.clone()));
+    spawn(keys::keep_fresh(shared.clone()));
     spawn(peers::hear(shared.clone(), socket));
     spawn(quarantine::run(shared.clone()));
     spawn(orders::run(shared.clone()));
@@ -150,7 +150,7 @@
     compio::runtime::spawn(task).detach();
 }
 
-fn never() -> Rc<Cell<bool>> {
+fn never_closing() -> Rc<Cell<bool>> {
     Rc::new(Cell::new(false))
 }
 
@@ -163,21 +163,22 @@
     http::response(StatusCode::OK, "text/plain", http::full(registry.page()))
 }
 
-/// What must happen from time to time: beliefs settle, records of the gone are dropped, idle
-/// connections closed, settings read again.
+/// Periodic upkeep: settles the server registry, drops the state of servers that are gone, closes
+/// idle connections and reloads the settings.
 async fn upkeep(shared: Rc<Shared>, file: PathBuf) {
     let mut round = 0_u64;
     let mut logged = 0;
     loop {
-        compio::time::sleep(UPKEEP).await;
+        compio::time::sleep(UPKEEP_INTERVAL).await;
         round += 1;
         shared.judge_role();
-        // Read only now: who hears of the store from peers believes it as of the moment that their word
-        // is taken, and would by an earlier one never take a missing registration as gone.
+        // The clock is read only here. A gateway that learns the store's state from peers dates its
+        // view by when it applies their message; compared with an earlier timestamp, a missing
+        // registration would never count as gone.
         let now = shared.now();
         if shared.fresh.borrow().settled(now) {
             for server in shared.roster.borrow_mut().settle() {
-                tracing::info!(server, "backend server is gone: not registered anew");
+                tracing::info!(server, "backend server is gone: it was not registered again");
             }
         }
         shared.pool.expire(now);
@@ -195,15 +196,15 @@
         shared.limits.borrow_mut().retain(|id| roster.get(id).is_some());
         drop(roster);
         if let Some(config) = shared.config() {
-            let named = |name: &str| config.routes.iter().any(|r| r.name == name);
-            shared.patience.borrow_mut().retain(named);
-            let served = |name: &str| config.service(name).is_some();
-            shared.learned.borrow_mut().retain(named, served);
-            shared.lines.borrow_mut().retain(|name, _| served(name));
+            let has_route = |name: &str| config.routes.iter().any(|r| r.name == name);
+            shared.patience.borrow_mut().retain(has_route);
+            let has_service = |name: &str| config.service(name).is_some();
+            shared.learned.borrow_mut().retain(has_route, has_service);
+            shared.lines.borrow_mut().retain(|name, _| has_service(name));
         }
         let dropped = logs::dropped();
         if dropped > logged {
-            tracing::warn!(lines = dropped - logged, "log lines left out: too many in a second");
+            tracing::warn!(lines = dropped - logged, "log lines dropped: too many in one second");
             logged = dropped;
         }
         shared.metrics.gauge("gateway.open", shared.open.get() as u64);
@@ -215,7 +216,7 @@
     }
 }
 
-/// Reads the settings again; bad ones leave those in force.
+/// Reloads the settings file; the current settings stay in force if it is invalid.
 fn reload(shared: &Shared, file: &std::path::Path) {
     match settings::read(file) {
         Ok(node) if node == *shared.node() => {}
@@ -223,6 +224,8 @@
             tracing::info!(name = %node.name, zone = %node.zone, "settings reloaded");
             *shared.node.borrow_mut() = Rc::new(node);
         }
-        Err(e) => tracing::error!(error = %e, "settings not reloaded; the old ones stay in force"),
+        Err(e) => {
+            tracing::error!(error = %e, "cannot reload the settings; the old ones stay in force")
+        }
     }
 }
--- a/crates/daemon/src/gateway/call.rs
+++ b/crates/daemon/src/gateway/call.rs
@@ -1,4 +1,4 @@
-//! A request with one short answer, at a plain backend server.
+//! Short calls: requests with a single answer from a plain backend server.
 
 use std::time::Duration;
 
@@ -22,25 +22,27 @@
 use super::send::{self, Expect, Whole};
 use super::shared::{Basis, Shared};
 
-/// Part of a route's goal after which a call that may be repeated is sent elsewhere: what is left
-/// suffices for a call of mean length.
-pub const GIVE_UP_PART: f64 = 0.7;
-/// Part of the goal after which callers are asked to come back, and up to twice of it, so that they don't
-/// come together: with the wait before, and a call of mean length behind it, they are still in time.
-const RETRY_PART: f64 = 0.25;
+/// Fraction of the route's goal after which an idempotent call is sent to another server; the rest
+/// is enough for a call of average length.
+pub const GIVE_UP_FRACTION: f64 = 0.7;
+/// Fraction of the goal after which a refused caller should retry, up to twice as much to spread
+/// the retries. With the time waited before and a call of average length after it, a retry still
+/// meets the goal.
+const RETRY_AFTER_FRACTION: f64 = 0.25;
 
-/// The send that is under way, or the turn that is waited for.
+/// State of a call: the send under way, or the ticket in the admission queue.
 #[derive(Default)]
-struct Flight {
-    open: Option<(Server, Timestamp)>,
+struct InFlight {
+    send: Option<(Server, Timestamp)>,
     ticket: Option<Ticket>,
 }
 
-impl Flight {
-    /// The caller is gone: the send's connection is closed already, nothing is learnt from it of its time.
+impl InFlight {
+    /// Ends what is open when the caller has disconnected. The send's connection is already closed,
+    /// and its duration says nothing about the server.
     fn close(self, shared: &Shared, intake: &Intake) {
         let service = &intake.service;
-        if let Some((server, sent)) = self.open {
+        if let Some((server, sent)) = self.send {
             shared.plain.borrow_mut().dropped(&server.id, sent);
             shared.line(service).dropped(sent);
             let sent = Sent { server: &server, run: Run::Call, at: sent };
@@ -53,8 +55,8 @@
     }
 }
 
-/// Waits for a turn; false when the call can't be in time.
-async fn wait(shared: &Shared, intake: &Intake, flight: &mut Flight) -> bool {
+/// Waits in the admission queue; false if the call cannot meet its goal.
+async fn wait_for_admission(shared: &Shared, intake: &Intake, flight: &mut InFlight) -> bool {
     let joined = shared.now();
     let ticket = shared.line(&intake.service).join(joined, intake.goal_at, intake.route().goal);
     flight.ticket = Some(ticket);
@@ -78,11 +80,20 @@
     };
     let ms = shared.now().since(joined).as_millis() as u64;
     let Basis { config, roster, age } = shared.basis();
-    tracing::info!(id = intake.id(), ms, window, waiting, config, roster, age, "no turn in time");
+    tracing::info!(
+        id = intake.id(),
+        ms,
+        window,
+        waiting,
+        config,
+        roster,
+        age,
+        "not admitted in time"
+    );
     false
 }
 
-/// Sends a request and answers; stops when the caller is gone.
+/// Sends a request and answers it; stops if the caller disconnects.
 pub async fn run(
     shared: &Shared,
     intake: &Intake,
@@ -90,7 +101,7 @@
     reply: oneshot::Sender<Response<Body>>,
 ) {
     retries::begin(shared, intake);
-    let mut flight = Flight::default();
+    let mut flight = InFlight::default();
     let work = deliver(shared, intake, &mut flight);
     let answered = answer::unless_gone(gone, work).await;
     flight.close(shared, intake);
@@ -100,15 +111,15 @@
     tracing::info!(id = intake.id(), route = %intake.route().name, status, ms, "request ended");
     shared.metrics.time("gateway.call_ms", ms);
     if let Some(response) = answered {
-        // The caller may have gone in this very moment.
+        // The caller may have disconnected by now.
         let _ = reply.send(response);
     }
 }
 
-async fn deliver(shared: &Shared, intake: &Intake, flight: &mut Flight) -> Response<Body> {
+async fn deliver(shared: &Shared, intake: &Intake, flight: &mut InFlight) -> Response<Body> {
     let mut progress = Progress::new(intake.is_repeatable(), intake.route().attempts);
     let mut tried: Vec<ServerId> = Vec::new();
-    let mut last: Option<Whole> = None;
+    let mut last_failure: Option<Whole> = None;
     let mut cause = Cause::NoServer;
     while progress.may_send() {
         let now = shared.now();
@@ -124,22 +135,23 @@
             cause = refused;
             break;
         }
-        // What failed is tried again only where that takes nobody's place.
-        if last.is_some() && !shared.line(&intake.service).has_room(now) {
+        // A failed call is retried only if the service has free capacity, so that it displaces no
+        // other call.
+        if last_failure.is_some() && !shared.line(&intake.service).has_room(now) {
             break;
         }
         if !retries::afford(shared, intake, Next::Run) {
             cause = Cause::Budget;
             break;
         }
-        if let Some(at) = all_rest(shared, intake, &tried) {
-            if at >= intake.goal_at {
-                return refuse_until(shared, intake, progress.verdict(), at);
+        if let Some(available_at) = all_paused_until(shared, intake, &tried) {
+            if available_at >= intake.goal_at {
+                return refuse_paused(shared, intake, progress.verdict(), available_at);
             }
-            compio::time::sleep(at.since(now)).await;
+            compio::time::sleep(available_at.since(now)).await;
             continue;
         }
-        if !wait(shared, intake, flight).await {
+        if !wait_for_admission(shared, intake, flight).await {
             cause = Cause::Overload;
             break;
         }
@@ -151,19 +163,19 @@
             continue;
         }
         let now = shared.now();
-        let limit = limit(shared, intake, now, &progress, &tried);
+        let limit = send_limit(shared, intake, now, &progress, &tried);
         progress.begin();
-        let (fate, answer) = send_to(shared, intake, &server, limit, flight).await;
-        progress.note(fate);
+        let (outcome, answer) = send_to(shared, intake, &server, limit, flight).await;
+        progress.note(outcome);
         let sent = Sent { server: &server, run: Run::Call, at: now };
-        quarantine::note_fate(shared, intake, sent, fate);
+        quarantine::note_fate(shared, intake, sent, outcome);
         tried.push(server.id.clone());
-        match fate {
+        match outcome {
             Fate::Answered(status) => {
                 if status < 500 {
-                    return answer.map_or_else(|| lost(&progress), deliver_whole);
+                    return answer.map_or_else(|| lost_response(&progress), complete_response);
                 }
-                last = answer;
+                last_failure = answer;
             }
             Fate::Moved => gone(shared, &server.id),
             Fate::Rejected => cause = Cause::Overload,
@@ -171,20 +183,21 @@
             Fate::Unsent => {}
         }
     }
-    if let Some(answer) = last {
-        return deliver_whole(answer);
+    if let Some(answer) = last_failure {
+        return complete_response(answer);
     }
     refuse(shared, intake, cause, progress.verdict())
 }
 
-/// When the first backend server takes something again, if all that could be sent to want nothing now.
-fn all_rest(shared: &Shared, intake: &Intake, tried: &[ServerId]) -> Option<Timestamp> {
+/// When the first of the untried servers is available again, if all of them are paused or at their
+/// limit.
+fn all_paused_until(shared: &Shared, intake: &Intake, tried: &[ServerId]) -> Option<Timestamp> {
     let roster = shared.roster.borrow();
-    let left = roster.ready(&intake.service).filter(|s| !tried.contains(&s.id));
-    said::soonest(shared, left)
+    let untried = roster.ready(&intake.service).filter(|s| !tried.contains(&s.id));
+    said::soonest(shared, untried)
 }
 
-/// The best backend server for a call that was not tried yet.
+/// The best backend server for a call among those not tried yet.
 pub fn pick(
     shared: &Shared,
     intake: &Intake,
@@ -197,22 +210,22 @@
     plain.pick(now, &node.zone, servers, tried, || shared.draw()).cloned()
 }
 
-/// How long this send may take: all the time there is when nothing else can be tried.
-fn limit(
+/// Time limit of this send: all the time left if no other server can be tried.
+fn send_limit(
     shared: &Shared,
     intake: &Intake,
     now: Timestamp,
     progress: &Progress,
     tried: &[ServerId],
 ) -> Duration {
-    let all = intake.ends_at.since(now);
-    let mut after = *progress;
-    after.note(Fate::Lost);
-    let others = shared.roster.borrow().ready(&intake.service).count() > tried.len() + 1;
-    if after.may_send() && others {
-        return all.min(intake.route().goal.mul_f64(GIVE_UP_PART));
+    let time_left = intake.ends_at.since(now);
+    let mut after_loss = *progress;
+    after_loss.note(Fate::Lost);
+    let has_others = shared.roster.borrow().ready(&intake.service).count() > tried.len() + 1;
+    if after_loss.may_send() && has_others {
+        return time_left.min(intake.route().goal.mul_f64(GIVE_UP_FRACTION));
     }
-    all
+    time_left
 }
 
 async fn send_to(
@@ -220,62 +233,62 @@
     intake: &Intake,
     to: &Server,
     limit: Duration,
-    flight: &mut Flight,
+    flight: &mut InFlight,
 ) -> (Fate, Option<Whole>) {
     let sent = shared.now();
     shared.plain.borrow_mut().sent(sent, &to.id);
     shared.line(&intake.service).sent(sent);
-    flight.open = Some((to.clone(), sent));
+    flight.send = Some((to.clone(), sent));
     let req = intake.request(sent, &to.id);
-    let (fate, answer) = send::whole(shared, intake, to, req, limit, Expect::Signature).await;
+    let (outcome, answer) = send::whole(shared, intake, to, req, limit, Expect::Signature).await;
     let now = shared.now();
     let load = answer.as_ref().and_then(|a| a.reply.load);
-    shared.plain.borrow_mut().ended(now, &to.id, sent, fate, load);
-    shared.line(&intake.service).ended(now, sent, fate, load);
+    shared.plain.borrow_mut().ended(now, &to.id, sent, outcome, load);
+    shared.line(&intake.service).ended(now, sent, outcome, load);
     shared.line_waiters.wake_all();
-    flight.open = None;
+    flight.send = None;
     let ms = now.since(sent).as_millis() as u64;
     let Basis { config, roster, age } = shared.basis();
     tracing::info!(
-        id = intake.id(), content = %intake.content, server = %to.id, ?fate, ms,
+        id = intake.id(), content = %intake.content, server = %to.id, fate = ?outcome, ms,
         running = load.map(|l| l.running), waiting = load.map(|l| l.waiting), config, roster,
         age, "sent"
     );
-    (fate, answer)
+    (outcome, answer)
 }
 
-/// Another life answered at its address.
+/// Marks a server as gone after another one answered at its address.
 pub fn gone(shared: &Shared, id: &ServerId) {
-    quarantine::note_ended(shared, id, "address");
+    quarantine::on_ended(shared, id, "address");
     if shared.roster.borrow_mut().replaced(id) {
-        tracing::info!(server = %id, "backend server is gone: another one has its address");
+        tracing::info!(server = %id, "backend server is gone: another one answered at its address");
     }
 }
 
-fn deliver_whole(answer: Whole) -> Response<Body> {
+fn complete_response(answer: Whole) -> Response<Body> {
     answer::whole(answer.status, answer.headers, answer.body)
 }
 
-fn lost(progress: &Progress) -> Response<Body> {
+fn lost_response(progress: &Progress) -> Response<Body> {
     answer::refusal(Cause::Lost, progress.verdict(), None)
 }
 
 fn refuse(shared: &Shared, intake: &Intake, cause: Cause, verdict: Verdict) -> Response<Body> {
-    let retry = intake.route().goal.mul_f64(RETRY_PART * (1.0 + shared.draw()));
-    refuse_for(shared, intake, cause, verdict, retry)
+    let retry = intake.route().goal.mul_f64(RETRY_AFTER_FRACTION * (1.0 + shared.draw()));
+    refuse_with_retry(shared, intake, cause, verdict, retry)
 }
 
-/// All backend servers want nothing for longer than the caller's goal.
-fn refuse_until(
+/// Refuses a call because all servers are paused or at their limit until after the caller's goal.
+fn refuse_paused(
     shared: &Shared,
     intake: &Intake,
     verdict: Verdict,
     at: Timestamp,
 ) -> Response<Body> {
-    refuse_for(shared, intake, Cause::Overload, verdict, at.since(shared.now()))
+    refuse_with_retry(shared, intake, Cause::Overload, verdict, at.since(shared.now()))
 }
 
-fn refuse_for(
+fn refuse_with_retry(
     shared: &Shared,
     intake: &Intake,
     cause: Cause,
--- a/crates/daemon/src/gateway/limits.rs
+++ b/crates/daemon/src/gateway/limits.rs
@@ -1,6 +1,8 @@
-//! Limits that backend servers name: taken of before each send, told to all gateways.
+//! Rate limits that backend servers announce: acquired from before each send, and shared with all
+//! gateways.
 //!
-//! Decisions are in `ebonyloft_router::limits`; a limit is lent by its home as client accounts' quotas are.
+//! Decisions are made in `ebonyloft_router::limits`. The owner of a limit grants tokens of it, as
+//! for client accounts' quotas.
 
 use std::time::Duration;
 
@@ -9,72 +11,78 @@
 use ebonyloft_router::limits::{Limit, Named};
 use ebonyloft_router::quota::Key;
 
-use super::quota::{self, Short};
+use super::quota::{self, Shortage};
 use super::shared::{Basis, Shared};
 
-/// How long a server is passed over whose limit nobody lends: another home does by then, or the question is
-/// not lost again.
-const UNKNOWN_REST: Duration = Duration::from_millis(250);
-/// Shortest time for which a server is passed over, so that a request does not spin on a home in its own process.
-const REST_MIN: Duration = Duration::from_millis(5);
+/// How long a server is skipped if no owner of its limit answers: by then another gateway owns the
+/// limit, or the next request for tokens gets through.
+const UNKNOWN_BACKOFF: Duration = Duration::from_millis(250);
+/// Shortest time for which a server is skipped, so that a request does not spin on an owner in its
+/// own process.
+const BACKOFF_MIN: Duration = Duration::from_millis(5);
 
-/// Takes so many requests of a server's limit, if it has one; false when it must be sent nothing now.
+/// Acquires `need` requests of a server's limit, if it has one; false if the server must not be
+/// sent anything now.
 pub async fn take(shared: &Shared, id: &ServerId, need: u64) -> bool {
     let Some(limit) = shared.limits.borrow().of(id) else {
         return true;
     };
     let key = Key::Server(id.clone());
-    let taken = quota::take(shared, &key, need, Some(limit), 1).await;
-    if let Err(short) = taken {
-        let until = match short {
-            Short::Over(at) => at.max(shared.now().after(REST_MIN)),
-            Short::Unknown => shared.now().after(UNKNOWN_REST),
+    let acquired = quota::acquire(shared, &key, need, Some(limit), 1).await;
+    if let Err(shortage) = acquired {
+        let until = match shortage {
+            Shortage::Over(at) => at.max(shared.now().after(BACKOFF_MIN)),
+            Shortage::Unknown => shared.now().after(UNKNOWN_BACKOFF),
         };
         shared.borrower.borrow_mut().refused(&key, until, until);
-        tracing::info!(server = %id, limit = limit.0, need, ?short, "passed over: its limit is used up");
+        tracing::info!(
+            server = %id, limit = limit.0, need, short = ?shortage,
+            "backend server skipped: its limit is used up or its owner silent"
+        );
         shared.metrics.count("gateway.limit.used_up", 1);
     }
-    taken.is_ok()
+    acquired.is_ok()
 }
 
-/// Until when a server's limit is used up, as far as is known here.
-pub fn used_up(shared: &Shared, id: &ServerId) -> Option<Timestamp> {
+/// Until when a server's limit is known to be used up, if it is.
+pub fn used_up_until(shared: &Shared, id: &ServerId) -> Option<Timestamp> {
     shared.limits.borrow().of(id)?;
     let (until, _) = shared.borrower.borrow().over(shared.now(), &Key::Server(id.clone()))?;
     Some(until)
 }
 
-/// An answer to a request sent at `sent` names a limit, or none.
-pub fn note(shared: &Shared, id: &ServerId, sent: Timestamp, limit: Option<Limit>) {
-    let news = shared.limits.borrow_mut().answered(shared.now(), id, sent, limit);
-    if let Some(word) = news {
-        log(shared, &word, "answer");
-        shared.notes.borrow_mut().limits.push(word);
+/// Handles an answer to a request sent at `sent`, which names a limit or none.
+pub fn on_answer(shared: &Shared, id: &ServerId, sent: Timestamp, limit: Option<Limit>) {
+    let update = shared.limits.borrow_mut().answered(shared.now(), id, sent, limit);
+    if let Some(report) = update {
+        log_change(shared, &report, "answer");
+        shared.notes.borrow_mut().limits.push(report);
         shared.inquiries.wake_all();
     }
 }
 
-/// A peer told what it knows of a server's limit.
-pub fn hear(shared: &Shared, word: &Named, peer: &str) {
-    // Nothing ends the limit of a server that is gone already.
-    let known = shared.roster.borrow().get(&word.server).is_some();
-    if known && shared.limits.borrow_mut().hear(shared.now(), word) {
-        log(shared, word, peer);
+/// Applies a peer's report of a server's limit.
+pub fn hear(shared: &Shared, report: &Named, peer: &str) {
+    // Ignored for a server that is already gone, since nothing would remove its limit again.
+    let known = shared.roster.borrow().get(&report.server).is_some();
+    if known && shared.limits.borrow_mut().hear(shared.now(), report) {
+        log_change(shared, report, peer);
     }
 }
 
-/// A question for a part of a limit tells that limit, of which this gateway may not have heard yet.
-pub fn learn(shared: &Shared, key: &Key, limit: Option<Limit>) {
+/// Learns a server's limit from a peer's request for tokens, which may name a newer one than is
+/// known here.
+pub fn learn_from_request(shared: &Shared, key: &Key, limit: Option<Limit>) {
     if let (Key::Server(id), Some(limit)) = (key, limit) {
         hear(shared, &Named { server: id.clone(), version: 1, limit: Some(limit) }, "question");
     }
 }
 
-fn log(shared: &Shared, word: &Named, from: &str) {
+fn log_change(shared: &Shared, report: &Named, from: &str) {
     let Basis { roster, age, .. } = shared.basis();
-    let Named { server, version, limit } = word;
+    let Named { server, version, limit } = report;
     let limit = limit.map(|limit| limit.0);
-    tracing::info!(%server, version, limit, from, roster, age, "limit of a backend server");
+    tracing::info!(%server, version, limit, from, roster, age, "limit of a backend server changed");
     shared.metrics.count("gateway.limit.changed", 1);
     shared.wake_all();
     shared.line_waiters.wake_all();
--- a/crates/daemon/src/gateway/retries.rs
+++ b/crates/daemon/src/gateway/retries.rs
@@ -1,36 +1,37 @@
-//! Extra arrivals of requests at their service, within the budget that all gateways share.
+//! Retries of requests, within the retry budget that all gateways share.
 //!
-//! Decisions are in `ebonyloft_router::budget`.
+//! Decisions are made in `ebonyloft_router::budget`.
 
 use ebonyloft_router::budget::{Arrivals, Next};
 
 use super::intake::Intake;
 use super::shared::Shared;
 
-/// A request begins: its service's budget grows.
+/// Starts a request, which adds to its service's budget.
 pub fn begin(shared: &Shared, intake: &Intake) {
     let (now, node) = (shared.now(), shared.node());
     shared.budget(&intake.service).earn(now, &node.bounds);
 }
 
-/// Holds what the next send may cost; false when the budget has too little left.
+/// Reserves what the next send may cost; false if too little of the budget is left.
 pub fn afford(shared: &Shared, intake: &Intake, next: Next) -> bool {
     let mut arrivals = intake.arrivals.get();
-    let Some(lack) = arrivals.lacks(next) else {
+    let Some(shortfall) = arrivals.lacks(next) else {
         return true;
     };
     let (now, node, entries) = (shared.now(), shared.node(), shared.entries());
     let mut budget = shared.budget(&intake.service);
-    let granted = budget.hold(now, &node.bounds, entries, lack);
-    let (requests, extras, held) = budget.counts();
+    let granted = budget.hold(now, &node.bounds, entries, shortfall);
+    let (requests, extras, reserved) = budget.counts();
     if granted {
-        arrivals.take(lack);
+        arrivals.take(shortfall);
         intake.arrivals.set(arrivals);
     }
     if !granted || arrivals.count() > 0 {
         tracing::info!(
-            id = intake.id(), service = %intake.service, ?next, arrivals = arrivals.count(), ?lack,
-            granted, requests, extras, held, entries, "extra arrival"
+            id = intake.id(), service = %intake.service, ?next, arrivals = arrivals.count(),
+            lack = ?shortfall, granted, requests, extras, held = reserved, entries,
+            "retry budget checked"
         );
         let counter = if granted { "gateway.extra.granted" } else { "gateway.extra.refused" };
         shared.metrics.count(counter, 1);
@@ -38,38 +39,38 @@
     granted
 }
 
-/// A send leaves.
-pub fn sent(shared: &Shared, intake: &Intake) {
-    if change(intake, Arrivals::send) {
+/// Commits the reserved budget as a request is sent.
+pub fn commit(shared: &Shared, intake: &Intake) {
+    if update_arrivals(intake, Arrivals::send) {
         shared.budget(&intake.service).spend(shared.now());
     }
 }
 
-/// It reached nobody after all.
-pub fn unsent(shared: &Shared, intake: &Intake) {
-    if change(intake, Arrivals::unsend) {
+/// Undoes the commit of a send that reached no server.
+pub fn undo_commit(shared: &Shared, intake: &Intake) {
+    if update_arrivals(intake, Arrivals::unsend) {
         shared.budget(&intake.service).take_back();
     }
 }
 
-/// An engine accepted the prompt.
+/// Handles a prompt that an engine accepted; budget that is no longer needed is released.
 pub fn accepted(shared: &Shared, intake: &Intake) {
-    if change(intake, Arrivals::accept) {
+    if update_arrivals(intake, Arrivals::accept) {
         shared.budget(&intake.service).take_back();
     }
-    let spare = change(intake, Arrivals::spare);
-    shared.budget(&intake.service).release(spare);
+    let unneeded = update_arrivals(intake, Arrivals::spare);
+    shared.budget(&intake.service).release(unneeded);
 }
 
-/// The request is over.
+/// Ends a request and releases what it still has reserved.
 pub fn close(shared: &Shared, intake: &Intake) {
-    let held = intake.arrivals.take().close();
-    shared.budget(&intake.service).release(held);
+    let reserved = intake.arrivals.take().close();
+    shared.budget(&intake.service).release(reserved);
 }
 
-fn change<T>(intake: &Intake, step: impl FnOnce(&mut Arrivals) -> T) -> T {
+fn update_arrivals<T>(intake: &Intake, step: impl FnOnce(&mut Arrivals) -> T) -> T {
     let mut arrivals = intake.arrivals.get();
-    let changed = step(&mut arrivals);
+    let result = step(&mut arrivals);
     intake.arrivals.set(arrivals);
-    changed
+    result
 }
--- a/crates/daemon/src/gateway/uploads.rs
+++ b/crates/daemon/src/gateway/uploads.rs
@@ -1,4 +1,4 @@
-//! Configurations that are on their way to peers, as many at a time as the link carries.
+//! Limits how many peers are sent the configuration at a time, by the rate of the link.
 
 use std::cell::RefCell;
 use std::sync::{Arc, Weak};
@@ -7,62 +7,62 @@
 use ebonyloft_core::time::Timestamp;
 use futures_util::stream;
 
-use super::pool::BODY_WAIT;
+use super::pool::BODY_TIMEOUT;
 use crate::http;
 
-/// Megabits a second that each configuration under way should have: what the weakest VMs take in. A VM of
-/// 10 Mbit/s that sent one to seven peers at once could not connect to any backend server for three
-/// seconds.
-const EACH: u32 = 10;
-/// Most configurations under way over a link whose rate is not known.
-const UNKNOWN: usize = 4;
+/// Mbit/s of the link that each upload should have: the download rate of the weakest VMs. A VM with
+/// a link of 10 Mbit/s that sent to one to seven peers at once could not connect to any backend
+/// server for three seconds.
+const MBITS_PER_UPLOAD: u32 = 10;
+/// Most concurrent uploads over a link of unknown rate.
+const UNKNOWN_LINK_MAX: usize = 4;
 /// Bytes handed to a connection at a time.
-const PART: usize = 16 << 10;
+const CHUNK: usize = 16 << 10;
 
-/// Counts those under way.
+/// Counts the uploads under way.
 #[derive(Debug, Default)]
 pub struct Uploads {
-    open: RefCell<Vec<Open>>,
+    open: RefCell<Vec<OpenUpload>>,
 }
 
-/// One under way, and until when it counts at the most.
+/// An upload under way, and when it stops counting at the latest.
 #[derive(Debug)]
-struct Open {
+struct OpenUpload {
     upload: Weak<()>,
     until: Timestamp,
 }
 
-/// Leave to send one.
+/// Permission for one upload.
 pub struct Upload {
-    _counts: Arc<()>,
+    _guard: Arc<()>,
 }
 
 impl Uploads {
-    /// Leave to send one more over a link of so many megabits a second, if it carries that.
-    pub fn begin(&self, now: Timestamp, link: u32) -> Option<Upload> {
-        let most = match link {
-            0 => UNKNOWN,
-            link => (link / EACH).max(1) as usize,
+    /// Permission for one more upload over a link of so many Mbit/s, if the link can carry it.
+    pub fn begin(&self, now: Timestamp, link_mbits: u32) -> Option<Upload> {
+        let max_open = match link_mbits {
+            0 => UNKNOWN_LINK_MAX,
+            link_mbits => (link_mbits / MBITS_PER_UPLOAD).max(1) as usize,
         };
         let mut open = self.open.borrow_mut();
         open.retain(|o| o.until > now && o.upload.strong_count() > 0);
-        if open.len() >= most {
+        if open.len() >= max_open {
             return None;
         }
-        let counts = Arc::new(());
-        // Beyond that its reader has given up, though a silent connection does not say so.
-        open.push(Open { upload: Arc::downgrade(&counts), until: now.after(BODY_WAIT) });
-        Some(Upload { _counts: counts })
+        let guard = Arc::new(());
+        // By then the peer has given up, though a silent connection does not show it.
+        open.push(OpenUpload { upload: Arc::downgrade(&guard), until: now.after(BODY_TIMEOUT) });
+        Some(Upload { _guard: guard })
     }
 }
 
 impl Upload {
-    /// A body of these bytes; it counts as under way until the last of them is handed to the connection.
+    /// A body of these bytes; the upload counts until the last of them is handed to the connection.
     pub fn body(self, bytes: Bytes) -> http::Body {
-        let parts = stream::unfold((self, bytes), |(upload, mut left)| async move {
-            let part = left.split_to(left.len().min(PART));
-            (!part.is_empty()).then_some((part, (upload, left)))
+        let chunks = stream::unfold((self, bytes), |(upload, mut rest)| async move {
+            let chunk = rest.split_to(rest.len().min(CHUNK));
+            (!chunk.is_empty()).then_some((chunk, (upload, rest)))
         });
-        http::streamed(parts)
+        http::streamed(chunks)
     }
 }
