--- a/crates/router/src/catalog.rs
+++ b/crates/router/src/catalog.rs
@@ -1,4 +1,5 @@
-//! The operator's configuration and the backend servers, in the product's own types.
+//! Data model of the operator's configuration and of registered backend servers, independent of the
+//! formats in which they arrive.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -10,107 +11,107 @@
 use crate::accounts::Accounts;
 use crate::drift::{mix, number};
 
-/// A configuration as the operator wrote it.
+/// The operator's configuration: routes, services, limits and client accounts.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Config {
-    /// Grows with every change, in uneven steps.
+    /// Grows with every change, not necessarily by one.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Route>,
     /// All services.
     pub services: Vec<Service>,
-    /// What callers may send.
+    /// Limits on what callers may send.
     pub limits: Limits,
-    /// Client accounts; none where callers need no key.
+    /// Client accounts; `None` when callers need no API key.
     #[serde(default)]
     pub accounts: Option<Accounts>,
 }
 
-/// Where requests of one host and path prefix go, and how they may be treated.
+/// Maps requests of one host and path prefix to services, with the rules for timeouts and retries.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Route {
     /// Name given by the operator.
     pub name: String,
-    /// Host, in lower case.
+    /// Host name in lower case.
     pub host: String,
-    /// Begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether and how requests may be repeated.
     pub kind: Kind,
-    /// Longest time a caller may be kept waiting.
+    /// Longest time that a caller is kept waiting.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub timeout: Duration,
-    /// Time within which an answer, or its first event, is in time.
+    /// Latency goal: time within which the answer, or its first event, counts as in time.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub goal: Duration,
-    /// Rank; 0 is most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Services with their weights.
+    /// Services that share the route's requests, with their weights.
     pub split: Vec<Split>,
-    /// Most backend servers that one request may run on.
+    /// Highest number of backend servers that one request may be sent to.
     pub attempts: u32,
-    /// A broken stream may go on elsewhere behind its last event.
+    /// Whether a broken stream may continue on another backend server after its last event.
     pub resumable: bool,
-    /// Needs no key.
+    /// Whether requests need no API key.
     #[serde(default)]
     pub public: bool,
 }
 
-/// One service of a route.
+/// Share of a route's requests that goes to one service.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Split {
     /// Name of the service.
     pub service: String,
-    /// Relative share of the requests.
+    /// Weight relative to the route's other services.
     pub weight: u32,
 }
 
-/// What may be repeated, and how the answer comes.
+/// Whether a request may be repeated, and whether its answer is a stream.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// May run again.
+    /// May run more than once.
     Idempotent,
     /// Runs at most once for each caller attempt.
     Once,
-    /// An event stream; runs once unless the route says that it may be resumed.
+    /// An event stream; runs at most once unless the route is resumable.
     Stream,
 }
 
-/// A group of backend servers with the same work.
+/// A group of interchangeable backend servers.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Service {
     /// Name given by the operator.
     pub name: String,
-    /// Connections that one backend server accepts from all callers together.
+    /// Connections that one backend server accepts from all gateways together.
     pub connections: u32,
-    /// Set when its backend servers are model engines.
+    /// Engine parameters; set when the service's backend servers are model engines.
     pub engine: Option<Engine>,
 }
 
-/// What is known of a service's model engines.
+/// Parameters of a service's model engines.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Engine {
-    /// Requests processed at once.
+    /// Requests that one engine processes at once.
     pub slots: u32,
-    /// Tokens that memory holds.
+    /// Tokens that one engine's memory holds.
     pub tokens: u64,
-    /// Output tokens in one event.
+    /// Output tokens per event.
     pub stride: u32,
-    /// How long a prompt that was read stays to be fetched.
+    /// How long a processed prompt can be fetched from a prefill engine.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub handle_life: Duration,
-    /// How long a change of stage takes.
+    /// How long an engine takes to change its stage.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub switch: Duration,
-    /// Longest reservation of memory.
+    /// Longest time for which an engine holds a memory reservation.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub hold: Duration,
 }
 
-/// What callers may send.
+/// Limits on what callers may send.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Limits {
@@ -118,16 +119,16 @@
     pub head: usize,
     /// Largest request body, in bytes.
     pub body: usize,
-    /// Longest time for a request head.
+    /// Longest time for receiving a request head.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub head_time: Duration,
-    /// Longest time that a connection may stay idle.
+    /// Longest time that a connection may be idle.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub idle: Duration,
 }
 
 impl Default for Limits {
-    /// Bounds of an entry that knows no configuration yet.
+    /// Limits of a gateway that has not received a configuration yet.
     fn default() -> Self {
         Limits {
             head: 16 << 10,
@@ -139,36 +140,38 @@
 }
 
 impl Config {
-    /// The service of this name.
+    /// Returns the service with this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|s| s.name == name)
     }
 }
 
-/// Names one life of a backend server. Whatever is kept for a life (work, paces, reservations,
-/// handles, orders) is kept under this, so that nothing of it is believed of the next one.
+/// Identifies one incarnation of a backend server. State that belongs to an incarnation (load,
+/// speed factors, reservations, handles, orders) is keyed by it, so that it never applies to the
+/// next one.
 #[derive(Clone, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(from = "(String, u64)", into = "(String, u64)")]
 pub struct ServerId {
-    /// Name of its registration; the next life may have it again.
+    /// Name of the registration; a later incarnation may reuse it.
     pub name: String,
-    /// Start of this life in Unix milliseconds; zero where registrations don't say.
+    /// Start of this incarnation in Unix milliseconds; zero when the registration does not state
+    /// it.
     pub born: u64,
 }
 
 impl ServerId {
-    /// The life of that name which began at `born`.
+    /// Returns the id of the incarnation of `name` that started at `born`.
     pub fn new(name: impl Into<String>, born: u64) -> Self {
         ServerId { name: name.into(), born }
     }
 
-    /// A number that hardly any other life has.
+    /// Returns a 64-bit hash of the id.
     pub fn number(&self) -> u64 {
         mix(number(&self.name) ^ self.born)
     }
 
-    /// The same in four bytes, for news.
-    pub fn short_number(&self) -> u32 {
+    /// Returns a 32-bit hash of the id, which keeps gossip messages short.
+    pub fn short_hash(&self) -> u32 {
         (self.number() >> 32) as u32
     }
 }
@@ -194,31 +197,31 @@
     }
 }
 
-/// One life of a backend server, as it registered itself.
+/// One incarnation of a backend server, as registered.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Server {
-    /// Its life.
+    /// Identifies the incarnation.
     pub id: ServerId,
     /// Name of its service.
     pub service: String,
-    /// Where it listens.
+    /// Address at which it accepts connections.
     pub addr: SocketAddr,
     /// Availability zone.
     pub zone: String,
-    /// Requests processed at once.
+    /// Requests that it processes at once.
     pub slots: u32,
-    /// It said that it is leaving.
+    /// Whether it has announced that it is leaving.
     pub draining: bool,
-    /// Set for model engines.
+    /// Current stage; set for model engines.
     pub stage: Option<Stage>,
 }
 
-/// What a model engine does.
+/// Role of a model engine.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Stage {
-    /// Reads prompts.
+    /// Processes prompts.
     Prefill,
-    /// Writes answers; reads prompts too, more slowly.
+    /// Generates answers; also processes prompts, but more slowly.
     Decode,
 }
--- a/crates/router/src/delegate.rs
+++ b/crates/router/src/delegate.rs
@@ -1,90 +1,95 @@
-//! Which gateways follow the store and which hear of it from those.
+//! Decides which gateways follow the store; the others get its changes from those.
 //!
-//! Answers the load that a fleet of hundreds is for the store: each follower costs it one to three calls
-//! a second, all for the same news. Two gateways of each availability zone follow it, the delegates; the
-//! others hear from them that there is something new and fetch it there. Nobody is elected: each gateway
-//! follows the store unless it hears from two that go before it and follow it well. So a zone whose
-//! delegates are lost, frozen or turned away has new ones as soon as that is noticed, and a gateway that
-//! hears from nobody follows the store itself.
+//! Each gateway that follows the store costs it one to three calls a second for the same changes,
+//! too much for a fleet of hundreds. So only two gateways per availability zone follow it, the zone
+//! leaders; they announce changes to the others, which fetch them there. There is no election: a
+//! gateway follows the store unless two higher-ranked gateways of its zone report that they reach
+//! it. So a zone whose leaders crash, hang or lose the store gets new ones as soon as this is
+//! noticed, and a gateway that hears from no leader follows the store itself.
 
 use std::time::Duration;
 
 use ebonyloft_core::time::Timestamp;
 use serde::{Deserialize, Serialize};
 
-/// Delegates of an availability zone: one may be lost, or cut from the store without noticing yet,
-/// while the other one passes news on.
-pub const PER_ZONE: usize = 2;
-/// How long a delegate counts without a message: it tells something three times in that time, and the
-/// shortest bound in which a change must be in force is twice as long.
+/// Zone leaders per availability zone. With two, changes still arrive when one leader is lost or
+/// cut off from the store without having noticed yet.
+pub const LEADERS_PER_ZONE: usize = 2;
+/// Time without a message after which a zone leader no longer counts. A leader sends three messages
+/// in this time, and the shortest bound for a change to take effect is twice as long.
 pub const SILENT: Duration = Duration::from_millis(1_000);
-/// How long a gateway that had to follow the store goes on when it has not: delegates that come and go
-/// then cost a few calls, not a list each.
-pub const KEEP: Duration = Duration::from_millis(1_500);
+/// How long a gateway keeps following the store after two higher-ranked leaders are back. Leaders
+/// that come and go then cost a few calls rather than a full list each time.
+pub const STEP_DOWN_DELAY: Duration = Duration::from_millis(1_500);
 
-/// How much longer each gateway waits than the one before it until it takes a delegate's place: one that
-/// begins tells the others within two such steps, so that a zone does not list the store all at once.
-pub const STEP: Duration = Duration::from_millis(100);
-/// Most steps; the last gateway of a zone that lost all before it follows the store a second later.
-pub const STEPS_MAX: u32 = 10;
+/// How much longer each gateway waits than the next higher-ranked one before it replaces a missing
+/// leader. A new leader is known to the others within two steps, so a zone does not list the store
+/// all at once.
+pub const TAKEOVER_STEP: Duration = Duration::from_millis(100);
+/// Highest number of steps: when a zone loses all its leaders, its lowest-ranked gateway follows
+/// the store after one second.
+pub const TAKEOVER_STEPS_MAX: u32 = 10;
 
-/// How a gateway hears of the store.
+/// How a gateway learns of changes in the store.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Link {
-    /// From delegates.
+    /// Through zone leaders.
     #[default]
     Indirect,
-    /// It follows the store and hears it.
+    /// It follows the store and reaches it.
     Heard {
         /// Milliseconds until a missing registration means that the backend server is gone.
         settles: u32,
-        /// Milliseconds since its list of backend servers was known to hold.
+        /// Milliseconds since its list of backend servers was last known to be complete.
         #[serde(default)]
         age: u32,
     },
-    /// It follows the store and does not reach it.
+    /// It follows the store but can't reach it.
     Away,
 }
 
-/// The part that one gateway has in following the store.
+/// Whether one gateway follows the store as a zone leader.
 #[derive(Clone, Copy, Debug)]
 pub struct Role {
     follows: bool,
-    /// Nobody that goes before it hears the store.
-    leads: bool,
-    /// When two delegates were last missed, while it follows.
-    needed_at: Timestamp,
-    /// Since when two are missed, while it does not.
+    /// No higher-ranked gateway reaches the store.
+    is_primary: bool,
+    /// While following: the last time at which fewer than two higher-ranked leaders reached the
+    /// store.
+    last_needed: Timestamp,
+    /// While not following: since when fewer than two higher-ranked leaders reach the store.
     missed_since: Option<Timestamp>,
 }
 
 impl Role {
-    /// A gateway that starts knows nobody: it follows the store.
+    /// Starts by following the store, because no leader is known yet.
     pub fn new(now: Timestamp) -> Self {
-        Role { follows: true, leads: true, needed_at: now, missed_since: None }
+        Role { follows: true, is_primary: true, last_needed: now, missed_since: None }
     }
 
-    /// Judges anew: `heard` delegates of the `ahead` gateways that go before this one hear the store.
-    pub fn judge(&mut self, now: Timestamp, ahead: usize, heard: usize) {
-        self.leads = self.follows && heard == 0;
-        if heard >= PER_ZONE {
+    /// Decides again whether to follow the store: of `higher_ranked` gateways, `connected` report
+    /// that they reach it.
+    pub fn judge(&mut self, now: Timestamp, higher_ranked: usize, connected: usize) {
+        self.is_primary = self.follows && connected == 0;
+        if connected >= LEADERS_PER_ZONE {
             self.missed_since = None;
-            self.follows &= now.since(self.needed_at) <= KEEP;
+            self.follows &= now.since(self.last_needed) <= STEP_DOWN_DELAY;
             return;
         }
         let since = *self.missed_since.get_or_insert(now);
-        let steps = (ahead + 1).saturating_sub(PER_ZONE).min(STEPS_MAX as usize);
-        if self.follows || now.since(since) >= STEP * steps as u32 {
+        let steps =
+            (higher_ranked + 1).saturating_sub(LEADERS_PER_ZONE).min(TAKEOVER_STEPS_MAX as usize);
+        if self.follows || now.since(since) >= TAKEOVER_STEP * steps as u32 {
             self.follows = true;
-            self.leads = heard == 0;
-            self.needed_at = now;
+            self.is_primary = connected == 0;
+            self.last_needed = now;
         }
     }
 
-    /// Is this the delegate from whom its zone hears first? The other ones follow the store in case that
-    /// this one is cut from it without noticing.
+    /// Is this the zone's primary leader? The other leaders follow the store in case the primary is
+    /// cut off without noticing.
     pub fn leads(&self) -> bool {
-        self.leads
+        self.is_primary
     }
 
     /// Does this gateway follow the store?
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -1,8 +1,7 @@
-//! The gateways, as they registered themselves.
+//! The registered gateways.
 //!
-//! Who there is, where it stands and what it can carry; the order in which the gateways of an
-//! availability zone take duties for the others follows from that alone, so that all of them see the
-//! same one without a message.
+//! Holds the address, zone and power of each gateway. The rank of the gateways within an
+//! availability zone follows from this alone, so all gateways agree on it without a message.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,37 +10,38 @@
 use ebonyloft_core::time::Timestamp;
 use serde::{Deserialize, Serialize};
 
-use crate::delegate::PER_ZONE;
+use crate::delegate::LEADERS_PER_ZONE;
 
-/// A gateway as it registered itself.
+/// A gateway as registered.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Gateway {
-    /// Where its peers reach it.
+    /// Address at which its peers reach it.
     pub addr: SocketAddr,
     /// Availability zone.
     #[serde(default)]
     pub zone: String,
-    /// Thousandths of a core that its VM has.
+    /// CPU of its VM in thousandths of a core.
     #[serde(default)]
     pub power: u32,
 }
 
-/// How long a gateway whose registration is gone is still told news and counted: registrations lapse
-/// with the store, and a gateway that lives registers anew within seconds of its return.
-pub const LAPSE: Duration = Duration::from_secs(10);
+/// How long a gateway whose registration is gone still gets gossip messages and counts.
+/// Registrations lapse when the store fails, and a running gateway registers again within seconds
+/// of its return.
+pub const LAPSE_GRACE: Duration = Duration::from_secs(10);
 
-/// All gateways that are registered, and the revision up to which they are known.
+/// All gateways that count, and the store revision up to which they are known.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     gateways: BTreeMap<String, Gateway>,
-    /// Those of them whose registration is gone, and until when they count.
+    /// Gateways whose registration is gone, with the time until which they count.
     lapsed: BTreeMap<String, Timestamp>,
     revision: u64,
     edition: u64,
 }
 
 impl Fleet {
-    /// Takes the whole list as of a revision, unless a newer one is known.
+    /// Replaces the list with that of a revision, unless a newer one is known.
     pub fn replace(&mut self, now: Timestamp, list: BTreeMap<String, Gateway>, revision: u64) {
         if revision < self.revision {
             return;
@@ -49,7 +49,7 @@
         self.revision = revision;
         let missing = self.gateways.keys().filter(|name| !list.contains_key(*name));
         for name in missing {
-            self.lapsed.entry(name.clone()).or_insert(now.after(LAPSE));
+            self.lapsed.entry(name.clone()).or_insert(now.after(LAPSE_GRACE));
         }
         self.lapsed.retain(|name, _| !list.contains_key(name));
         for (name, gateway) in list {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// A gateway registered, or its registration is gone.
+    /// Applies a new or removed registration.
     pub fn apply(&mut self, now: Timestamp, name: &str, gateway: Option<Gateway>, revision: u64) {
         if revision < self.revision {
             return;
@@ -69,33 +69,33 @@
                 self.insert(name, gateway);
             }
             None if self.gateways.contains_key(name) => {
-                self.lapsed.entry(name.to_owned()).or_insert(now.after(LAPSE));
+                self.lapsed.entry(name.to_owned()).or_insert(now.after(LAPSE_GRACE));
             }
             None => {}
         }
     }
 
-    /// Forgets gateways whose registration has been gone for long.
+    /// Forgets gateways whose registration has been gone for `LAPSE_GRACE`.
     pub fn expire(&mut self, now: Timestamp) {
-        let over = |name: &String| self.lapsed.get(name).is_some_and(|until| *until <= now);
+        let expired = |name: &String| self.lapsed.get(name).is_some_and(|until| *until <= now);
         let before = self.gateways.len();
-        self.gateways.retain(|name, _| !over(name));
+        self.gateways.retain(|name, _| !expired(name));
         self.edition += u64::from(self.gateways.len() != before);
         self.lapsed.retain(|_, until| *until > now);
     }
 
-    /// Those whose registration stands, for another process.
+    /// Returns the gateways that are registered now, to be passed to another gateway.
     pub fn registered(&self) -> BTreeMap<String, Gateway> {
-        let stands = |(name, _): &(&String, &Gateway)| !self.lapsed.contains_key(*name);
-        self.gateways.iter().filter(stands).map(|(n, g)| (n.clone(), g.clone())).collect()
+        let is_registered = |(name, _): &(&String, &Gateway)| !self.lapsed.contains_key(*name);
+        self.gateways.iter().filter(is_registered).map(|(n, g)| (n.clone(), g.clone())).collect()
     }
 
-    /// Revision of the last change.
+    /// Returns the revision of the last change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Grows with each change of who there is.
+    /// Grows with each change of the set of gateways.
     pub fn edition(&self) -> u64 {
         self.edition
     }
@@ -105,29 +105,31 @@
         self.edition += u64::from(before.as_ref() != Some(&gateway));
     }
 
-    /// All that count, by name.
+    /// Returns all gateways that count, by name.
     pub fn all(&self) -> &BTreeMap<String, Gateway> {
         &self.gateways
     }
 
-    /// Those of one availability zone, by name.
+    /// Returns the gateways of one availability zone, by name.
     pub fn of_zone<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = (&'a String, &'a Gateway)> {
         self.gateways.iter().filter(move |(_, g)| g.zone == zone)
     }
 
-    /// Gateways of `name`'s availability zone that take duties before it: the strongest first, since
-    /// a duty takes the same time of any VM. None when it is not registered.
+    /// Returns the gateways of `name`'s availability zone that rank above it, or `None` when it is
+    /// not registered. The VM with the most CPU ranks first, since a duty costs the same CPU time
+    /// on every VM.
     pub fn ahead<'a>(&'a self, name: &'a str) -> Option<impl Iterator<Item = &'a str>> {
         let own = self.gateways.get(name)?;
-        let goes_before =
+        let ranks_above =
             move |n: &str, g: &Gateway| g.power > own.power || g.power == own.power && n < name;
-        let before = self.of_zone(&own.zone).filter(move |(n, g)| goes_before(n, g));
+        let before = self.of_zone(&own.zone).filter(move |(n, g)| ranks_above(n, g));
         Some(before.map(|(n, _)| n.as_str()))
     }
 
-    /// The gateways of each zone that go first, whether they live or not.
+    /// Returns the highest-ranked gateways of each zone, whether they are running or not.
     pub fn delegates(&self) -> impl Iterator<Item = &Gateway> {
-        let first = |name: &str| self.ahead(name).is_some_and(|ahead| ahead.count() < PER_ZONE);
-        self.gateways.iter().filter(move |(name, _)| first(name)).map(|(_, g)| g)
+        let ranks_first =
+            |name: &str| self.ahead(name).is_some_and(|ahead| ahead.count() < LEADERS_PER_ZONE);
+        self.gateways.iter().filter(move |(name, _)| ranks_first(name)).map(|(_, g)| g)
     }
 }
--- a/crates/router/src/forecast.rs
+++ b/crates/router/src/forecast.rs
@@ -1,137 +1,142 @@
-//! The memory that answers will take at an engine over their next tokens.
+//! Forecast of the memory that answers will take at an engine over their next tokens.
 //!
-//! Answers the load of engines whose memory holds a dozen answers of unknown length. An engine that
-//! runs out throws an answer's memory away and reads its prompt anew, which costs as much as the answer
-//! is worth, and memory kept free for the longest answers costs as many refusals. So what is compared
-//! with an engine's memory is neither what is used now nor the longest that it could come to, but what
-//! is expected at some coming moments, with those answers that will have ended left out. Moments are
-//! counted in tokens: all answers of an engine advance at one pace, whatever it is.
+//! An engine's memory holds only a dozen answers of unknown length. An engine that runs out
+//! discards an answer's memory and processes its prompt again, which costs as much as the answer is
+//! worth, while reserving for the longest answers leads to as many refusals. So admission compares
+//! an engine's memory with the expected use at a few points ahead, leaving out the answers that
+//! will have ended by then. The points are counted in tokens, because all answers of an engine
+//! advance at the same speed.
 
 use serde::{Deserialize, Serialize};
 
-use crate::pack;
-
-/// Moments of a forecast, in tokens that each answer will have made from now. They double, since an
-/// answer's end is known less the farther off it is, and reach from the news's age to the length of
-/// the longest answers seen.
-pub const AHEAD: [u64; 6] = [0, 256, 512, 1_024, 2_048, 4_096];
-/// Index of the moment up to which an engine's memory is reserved for an answer that begins.
-pub const RESERVED: usize = 2;
-/// Standard deviations that are kept free beyond what is expected. Of 100 callers of long answers 85.0 are
-/// answered and 0.2 thrown away, of short ones 79.3 and 3.9 (played, six seeds); with 2.0 of the short ones
-/// 69.1 and 13.0, with 3.0 of the long ones 80.8 and none.
-pub const MARGIN: f64 = 2.4;
-/// Tokens to which memory is rounded on the way to peers: two blocks of an engine's memory.
-const PACK_TOKENS: u64 = 32;
-/// Tokens squared that one unit of spread stands for; keeps it short on the way.
-const SPREAD_UNIT: f64 = 4_096.0;
-
-/// Memory expected at the moments ahead, in tokens.
+use crate::varint;
+
+/// Points of a forecast, in tokens that each answer generates from now. They double, since the end
+/// of an answer is less certain the farther off it is, and reach from the age of a load report to
+/// the length of the longest answers seen.
+pub const POINTS: [u64; 6] = [0, 256, 512, 1_024, 2_048, 4_096];
+/// Index of the last point for which memory is reserved when an answer begins.
+pub const RESERVED_POINT: usize = 2;
+/// Standard deviations kept free above the expected use. In simulation with six seeds, of 100
+/// callers with long answers 85.0 are answered and 0.2 preempted, with short ones 79.3 and 3.9.
+/// With 2.0, of the short ones 69.1 and 13.0; with 3.0, of the long ones 80.8 and none.
+pub const MARGIN_SIGMAS: f64 = 2.4;
+/// Memory is rounded to this many tokens when encoded: two blocks of an engine's memory.
+const ENCODED_UNIT: u64 = 32;
+/// Unit of the encoded variance in tokens squared; keeps the encoding short.
+const VARIANCE_UNIT: f64 = 4_096.0;
+
+/// Expected memory use in tokens at each point of `AHEAD`.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-#[serde(from = "[[u64; AHEAD.len()]; 2]", into = "[[u64; AHEAD.len()]; 2]")]
+#[serde(from = "[[u64; POINTS.len()]; 2]", into = "[[u64; POINTS.len()]; 2]")]
 pub struct Profile {
-    /// Expected at each moment.
-    at: [u64; AHEAD.len()],
-    /// Variance of it, in units of 4,096 tokens squared.
-    spread: [u64; AHEAD.len()],
+    /// Expected use at each point.
+    mean: [u64; POINTS.len()],
+    /// Variance at each point, in units of 4,096 tokens squared.
+    variance: [u64; POINTS.len()],
 }
 
-impl From<[[u64; AHEAD.len()]; 2]> for Profile {
-    fn from([at, spread]: [[u64; AHEAD.len()]; 2]) -> Self {
-        Profile { at, spread }
+impl From<[[u64; POINTS.len()]; 2]> for Profile {
+    fn from([mean, variance]: [[u64; POINTS.len()]; 2]) -> Self {
+        Profile { mean, variance }
     }
 }
 
-impl From<Profile> for [[u64; AHEAD.len()]; 2] {
+impl From<Profile> for [[u64; POINTS.len()]; 2] {
     fn from(p: Profile) -> Self {
-        [p.at, p.spread]
+        [p.mean, p.variance]
     }
 }
 
 impl Profile {
-    /// Writes it in few bytes: memory to the nearest 32 tokens, each moment by its difference from the one
+    /// Encodes in few bytes: memory rounded to 32 tokens, each point as the difference from the one
     /// before, and standard deviations in place of variances.
-    pub(crate) fn pack(&self, out: &mut Vec<u8>) {
+    pub(crate) fn encode(&self, out: &mut Vec<u8>) {
         let mut before = 0;
-        for at in self.at {
-            let units = (at + PACK_TOKENS / 2) / PACK_TOKENS;
-            pack::signed(out, units as i64 - before as i64);
+        for mean in self.mean {
+            let units = (mean + ENCODED_UNIT / 2) / ENCODED_UNIT;
+            varint::write_signed(out, units as i64 - before as i64);
             before = units;
         }
-        for spread in self.spread {
-            pack::number(out, (spread as f64).sqrt().round() as u64);
+        for variance in self.variance {
+            varint::write_unsigned(out, (variance as f64).sqrt().round() as u64);
         }
     }
 
-    /// Reads what `pack` wrote.
-    pub(crate) fn unpack(bytes: &mut &[u8]) -> Option<Profile> {
+    /// Decodes what `encode` wrote.
+    pub(crate) fn decode(bytes: &mut &[u8]) -> Option<Profile> {
         let mut profile = Profile::default();
         let mut units = 0_i64;
-        for at in &mut profile.at {
-            units = units.checked_add(pack::read_signed(bytes)?)?;
-            *at = u64::try_from(units).ok()?.checked_mul(PACK_TOKENS)?;
+        for mean in &mut profile.mean {
+            units = units.checked_add(varint::read_signed(bytes)?)?;
+            *mean = u64::try_from(units).ok()?.checked_mul(ENCODED_UNIT)?;
         }
-        for spread in &mut profile.spread {
-            *spread = pack::read_number(bytes)?.checked_pow(2)?;
+        for variance in &mut profile.variance {
+            *variance = varint::read_unsigned(bytes)?.checked_pow(2)?;
         }
         Some(profile)
     }
 
-    /// The same memory at all moments.
-    pub const fn flat(tokens: u64) -> Self {
-        Profile { at: [tokens; AHEAD.len()], spread: [0; AHEAD.len()] }
+    /// Returns a forecast of constant use.
+    pub const fn constant(tokens: u64) -> Self {
+        Profile { mean: [tokens; POINTS.len()], variance: [0; POINTS.len()] }
     }
 
-    /// Memory `size(n)` with the probability `there(n)` at the moment `n`.
-    pub fn expect(size: impl Fn(u64) -> f64, there: impl Fn(u64) -> f64) -> Self {
+    /// Returns the forecast of an answer that uses `size(n)` tokens and has not ended with
+    /// probability `survival(n)` at the point `n`.
+    pub fn from_survival(size: impl Fn(u64) -> f64, survival: impl Fn(u64) -> f64) -> Self {
         let mut profile = Profile::default();
-        for (i, ahead) in AHEAD.into_iter().enumerate() {
-            let (size, there) = (size(ahead), there(ahead));
-            profile.at[i] = (size * there) as u64;
-            profile.spread[i] = (size * size * there * (1.0 - there) / SPREAD_UNIT) as u64;
+        for (i, ahead) in POINTS.into_iter().enumerate() {
+            let (size, survival) = (size(ahead), survival(ahead));
+            profile.mean[i] = (size * survival) as u64;
+            profile.variance[i] =
+                (size * size * survival * (1.0 - survival) / VARIANCE_UNIT) as u64;
         }
         profile
     }
 
-    /// Memory now.
+    /// Returns the use now.
     pub fn now(&self) -> u64 {
-        self.at[0]
+        self.mean[0]
     }
 
-    /// What to reserve for an answer that begins.
+    /// Returns the memory to reserve for an answer that begins.
     pub fn reserved(&self) -> u64 {
-        self.at[..=RESERVED].iter().copied().max().unwrap_or(0)
+        self.mean[..=RESERVED_POINT].iter().copied().max().unwrap_or(0)
     }
 
-    /// The most that is expected at any moment.
+    /// Returns the highest expected use at any point.
     pub fn peak(&self) -> u64 {
-        self.at.iter().copied().max().unwrap_or(0)
+        self.mean.iter().copied().max().unwrap_or(0)
     }
 
-    /// Room under `memory` at the tightest moment, `margin` standard deviations kept free; negative
-    /// when it is expected to run out.
+    /// Returns the least room left of `memory` at any point, with `margin` standard deviations kept
+    /// free; negative when memory is expected to run out.
     pub fn room(&self, memory: u64, margin: f64) -> i64 {
-        let room = |(at, spread): (&u64, &u64)| {
-            let kept = (*spread as f64 * SPREAD_UNIT).sqrt() * margin;
-            memory as i64 - *at as i64 - kept as i64
+        let room = |(mean, variance): (&u64, &u64)| {
+            let margin_tokens = (*variance as f64 * VARIANCE_UNIT).sqrt() * margin;
+            memory as i64 - *mean as i64 - margin_tokens as i64
         };
-        self.at.iter().zip(&self.spread).map(room).min().unwrap_or(0)
+        self.mean.iter().zip(&self.variance).map(room).min().unwrap_or(0)
     }
 
-    /// The sum of both.
+    /// Returns the sum of both forecasts.
     pub fn plus(self, other: Profile) -> Profile {
-        self.joined(other, |a, b| a + b)
+        self.combine(other, |a, b| a + b)
     }
 
-    /// What is left of it without the other.
+    /// Returns this forecast without the other.
     pub fn minus(self, other: Profile) -> Profile {
-        self.joined(other, u64::saturating_sub)
+        self.combine(other, u64::saturating_sub)
     }
 
-    fn joined(self, other: Profile, join: impl Fn(u64, u64) -> u64) -> Profile {
-        let joined = |a: [u64; AHEAD.len()], b: [u64; AHEAD.len()]| {
+    fn combine(self, other: Profile, join: impl Fn(u64, u64) -> u64) -> Profile {
+        let combined = |a: [u64; POINTS.len()], b: [u64; POINTS.len()]| {
             std::array::from_fn(|i| join(a[i], b[i]))
         };
-        Profile { at: joined(self.at, other.at), spread: joined(self.spread, other.spread) }
+        Profile {
+            mean: combined(self.mean, other.mean),
+            variance: combined(self.variance, other.variance),
+        }
     }
 }
--- a/crates/router/src/freshness.rs
+++ b/crates/router/src/freshness.rs
@@ -1,7 +1,7 @@
-//! How far the store can be believed after it was out of reach.
+//! Tracks whether the store is reachable and whether its registrations can be trusted.
 //!
-//! While the store is away, registrations lapse of backend servers that are well. After its return
-//! they register anew within about two seconds, so what is missing is only taken as gone after that.
+//! While the store is unreachable, registrations of healthy backend servers lapse. After its return
+//! they register again within about two seconds, so a missing one only counts as gone after that.
 
 use std::time::Duration;
 
@@ -9,38 +9,39 @@
 
 use crate::delegate::Link;
 
-/// How long after the store's return a missing backend server may still register anew. The platform
-/// says about two seconds; a tenth is added for the way of the news.
-pub const RETURN_TIME: Duration = Duration::from_millis(2_200);
+/// How long after the store's return a missing backend server may still register again. The
+/// platform states about two seconds; a tenth is added for the transfer of the change.
+pub const REREGISTRATION_TIME: Duration = Duration::from_millis(2_200);
 
-/// Tracks when the store was last out of reach.
+/// Reachability of the store and age of the list of backend servers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Freshness {
-    away_since: Option<Timestamp>,
-    settles_at: Timestamp,
+    unreachable_since: Option<Timestamp>,
+    trusted_at: Timestamp,
     known_at: Timestamp,
 }
 
 impl Freshness {
-    /// The store answered; what it said holds as of `known_at`. True when it was away before.
+    /// Records an answer of the store whose content is valid as of `known_at`; true when the store
+    /// was unreachable before.
     pub fn on_answer(&mut self, now: Timestamp, known_at: Timestamp) -> bool {
         self.known(known_at);
-        let back = self.away_since.take().is_some();
-        if back {
-            self.settles_at = now.after(RETURN_TIME);
+        let returned = self.unreachable_since.take().is_some();
+        if returned {
+            self.trusted_at = now.after(REREGISTRATION_TIME);
         }
-        back
+        returned
     }
 
-    /// A call failed or was turned away. True when the store counted as well before.
+    /// Records a failed or rejected call; true when the store counted as reachable before.
     pub fn on_failure(&mut self, now: Timestamp) -> bool {
-        let first = self.away_since.is_none();
-        self.away_since.get_or_insert(now);
-        first
+        let was_reachable = self.unreachable_since.is_none();
+        self.unreachable_since.get_or_insert(now);
+        was_reachable
     }
 
-    /// What a peer that follows the store says of it, for a process that does not. True when the
-    /// store changed between heard and away.
+    /// Adopts the state of the store that a peer reports, on a gateway that does not follow the
+    /// store; true when the store became reachable or unreachable.
     pub fn adopt(&mut self, now: Timestamp, link: Link) -> bool {
         let before = self.is_away();
         match link {
@@ -49,47 +50,47 @@
                 self.on_failure(now);
             }
             Link::Heard { settles, .. } => {
-                self.away_since = None;
-                self.settles_at = now.after(Duration::from_millis(settles.into()));
+                self.unreachable_since = None;
+                self.trusted_at = now.after(Duration::from_millis(settles.into()));
             }
         }
         self.is_away() != before
     }
 
-    /// The list of backend servers holds as of this moment: nothing that the store said by then is
-    /// missing.
+    /// The list of backend servers is known to contain every change up to `at`.
     pub fn known(&mut self, at: Timestamp) {
         self.known_at = self.known_at.max(at);
     }
 
-    /// How this process hears of the store, for its peers: it does not help them when it has heard nothing
-    /// for longer than `silence`, whatever it waits for.
+    /// Returns what this gateway reports to its peers of the store. After `silence` without an
+    /// answer it reports the store as unreachable, even while a call is pending, since its list no
+    /// longer helps them.
     pub fn link(&self, now: Timestamp, silence: Duration) -> Link {
         let age = now.since(self.known_at);
         if self.is_away() || age > silence {
             return Link::Away;
         }
-        let settles = self.settles_at.since(now).as_millis() as u32;
+        let settles = self.trusted_at.since(now).as_millis() as u32;
         Link::Heard { settles, age: age.as_millis() as u32 }
     }
 
-    /// As of when the list of backend servers is known to hold.
+    /// Returns the time as of which the list of backend servers is known to be complete.
     pub fn known_at(&self) -> Timestamp {
         self.known_at
     }
 
-    /// Is nothing known to hold as of now: was the store never heard, or is it out of reach?
+    /// Was the store never reached, or is it unreachable now?
     pub fn is_unsure(&self) -> bool {
         self.is_away() || self.known_at == Timestamp::default()
     }
 
-    /// Is the store out of reach, as far as this process knows?
+    /// Is the store unreachable, as far as this gateway knows?
     pub fn is_away(&self) -> bool {
-        self.away_since.is_some()
+        self.unreachable_since.is_some()
     }
 
     /// Does a missing registration mean that the backend server is gone?
     pub fn settled(&self, now: Timestamp) -> bool {
-        self.away_since.is_none() && now >= self.settles_at
+        self.unreachable_since.is_none() && now >= self.trusted_at
     }
 }
--- a/crates/router/src/growth.rs
+++ b/crates/router/src/growth.rs
@@ -1,183 +1,192 @@
-//! How long answers become, learned by route, and what one is expected to take and to give.
+//! Learns the answer lengths of each route, and predicts the length, memory cost and value of an
+//! answer.
 //!
-//! Answers the load of customers whose answers differ: one writes 864 tokens to prompts of 3,200,
-//! another 4,544 to 5,200. What the longest allowed output and the caller's estimate say of the length
-//! is learned from answers that ended. With the expectations of the first customer the engines of the
-//! second ran out of memory some 60 times a day.
+//! Answer lengths differ between customers: one has answers of 864 tokens to prompts of 3,200,
+//! another of 4,544 to 5,200. How the length relates to the highest allowed output and to the
+//! caller's estimate is learned from ended answers. With the figures of the first customer, the
+//! engines of the second ran out of memory some 60 times a day.
 
 use serde::{Deserialize, Serialize};
 
 use crate::forecast::Profile;
 
-/// Logarithm of an answer's length as a part of the longest that its caller allows: first guess, the
-/// mean and standard deviation over 2,096 answers of a day (708 of 2,040 tokens at the median).
-const FIRST_PART: Moments = Moments::guess(-1.05, 0.6);
-/// Logarithm of a caller's estimate by the length: first guess, over the same answers.
-const FIRST_ERROR: Moments = Moments::guess(0.0, 0.5);
-/// Answers that the first guess counts for.
-const FIRST_WEIGHT: f64 = 8.0;
-/// Least weight of a new answer: the last hundred count, some forty seconds of one gateway.
-const NEW_WEIGHT: f64 = 0.01;
-/// Least standard deviation, for answers that are all alike.
+/// Logarithm of the answer length divided by the highest allowed output: initial guess, the mean
+/// and standard deviation over 2,096 answers of one day (median 708 of 2,040 tokens).
+const INITIAL_RATIO: RunningStats = RunningStats::initial(-1.05, 0.6);
+/// Logarithm of the caller's estimate divided by the answer length: initial guess from the same
+/// answers.
+const INITIAL_HINT_ERROR: RunningStats = RunningStats::initial(0.0, 0.5);
+/// Number of answers that the initial guess counts for.
+const INITIAL_WEIGHT: f64 = 8.0;
+/// Lowest weight of a new answer: about the last hundred count, some forty seconds of one gateway.
+const SAMPLE_WEIGHT_MIN: f64 = 0.01;
+/// Lowest standard deviation, for routes whose answers all have the same length.
 const SIGMA_MIN: f64 = 0.05;
-/// Least probability that is divided by: an answer beyond all that were seen is taken to end soon.
-const TAIL: f64 = 1e-9;
+/// Lowest probability used as a divisor: an answer longer than all before is expected to end soon.
+const TAIL_MIN: f64 = 1e-9;
 
-/// Worth of a written token against one of the prompt, as the users weigh requests.
-pub const TOKEN_WORTH: f64 = 10.0;
-/// Part of a request's worth that does not depend on its size.
-pub const FIXED_WORTH: f64 = 0.3;
+/// Value of an output token relative to a prompt token, as users weigh requests.
+pub const OUTPUT_TOKEN_WEIGHT: f64 = 10.0;
+/// Fraction of a request's value that does not depend on its size.
+pub const FIXED_VALUE: f64 = 0.3;
 
-/// Mean and variance, learned.
+/// Running mean and variance, with exponential forgetting.
 #[derive(Clone, Copy, Debug)]
-struct Moments {
+struct RunningStats {
     mean: f64,
     var: f64,
-    seen: f64,
+    count: f64,
 }
 
-impl Moments {
-    const fn guess(mean: f64, sigma: f64) -> Self {
-        Moments { mean, var: sigma * sigma, seen: FIRST_WEIGHT }
+impl RunningStats {
+    const fn initial(mean: f64, sigma: f64) -> Self {
+        RunningStats { mean, var: sigma * sigma, count: INITIAL_WEIGHT }
     }
 
     fn observe(&mut self, value: f64) {
-        self.seen += 1.0;
-        let weight = (1.0 / self.seen).max(NEW_WEIGHT);
-        let off = value - self.mean;
-        self.mean += weight * off;
-        self.var += weight * (off * off * (1.0 - weight) - self.var);
+        self.count += 1.0;
+        let weight = (1.0 / self.count).max(SAMPLE_WEIGHT_MIN);
+        let deviation = value - self.mean;
+        self.mean += weight * deviation;
+        self.var += weight * (deviation * deviation * (1.0 - weight) - self.var);
     }
 }
 
-/// Lengths of the answers of one route.
+/// Statistics of the answer lengths of one route.
 #[derive(Clone, Copy, Debug)]
-pub struct Lengths {
-    part: Moments,
-    error: Moments,
+pub struct AnswerLengths {
+    ratio: RunningStats,
+    hint_error: RunningStats,
 }
 
-impl Default for Lengths {
+impl Default for AnswerLengths {
     fn default() -> Self {
-        Lengths { part: FIRST_PART, error: FIRST_ERROR }
+        AnswerLengths { ratio: INITIAL_RATIO, hint_error: INITIAL_HINT_ERROR }
     }
 }
 
-impl Lengths {
-    /// An answer of at most `most` tokens ended whole with `made`; `hint` was its caller's estimate.
-    pub fn observe(&mut self, most: u64, hint: Option<u64>, made: u64) {
-        if most == 0 || made == 0 {
+impl AnswerLengths {
+    /// Records a complete answer of `generated` tokens that could have had `max_tokens`; `hint` is
+    /// the caller's estimate.
+    pub fn observe(&mut self, max_tokens: u64, hint: Option<u64>, generated: u64) {
+        if max_tokens == 0 || generated == 0 {
             return;
         }
-        self.part.observe((made as f64 / most as f64).ln());
+        self.ratio.observe((generated as f64 / max_tokens as f64).ln());
         if let Some(hint) = hint {
-            self.error.observe((hint.max(1) as f64 / made as f64).ln());
+            self.hint_error.observe((hint.max(1) as f64 / generated as f64).ln());
         }
     }
 
-    /// What is expected of an answer of at most `most` tokens; `hint` is the caller's estimate.
-    pub fn expect(&self, most: u64, hint: Option<u64>) -> Growth {
-        let most = most.max(1) as f64;
-        let (mut mean, mut var) = (most.ln() + self.part.mean, self.part.var);
+    /// Predicts the length of an answer of at most `max_tokens` tokens; `hint` is the caller's
+    /// estimate.
+    pub fn expect(&self, max_tokens: u64, hint: Option<u64>) -> Growth {
+        let most = max_tokens.max(1) as f64;
+        let (mut mean, mut var) = (most.ln() + self.ratio.mean, self.ratio.var);
         if let Some(hint) = hint {
-            // Both are normal; the surer one counts more.
-            let told = (hint.max(1) as f64).ln() - self.error.mean;
-            let weight = var / (var + self.error.var).max(f64::MIN_POSITIVE);
-            mean += weight * (told - mean);
+            // Combines two normal distributions; the one with the smaller variance weighs more.
+            let hinted = (hint.max(1) as f64).ln() - self.hint_error.mean;
+            let weight = var / (var + self.hint_error.var).max(f64::MIN_POSITIVE);
+            mean += weight * (hinted - mean);
             var *= 1.0 - weight;
         }
         Growth { mean: mean.min(most.ln()), sigma: var.sqrt().max(SIGMA_MIN), most }
     }
 }
 
-/// What is expected of one answer.
+/// Predicted length of one answer, as a log-normal distribution.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Growth {
-    /// Mean of the length's logarithm.
+    /// Mean of the logarithm of the length.
     mean: f64,
-    /// Standard deviation of it.
+    /// Standard deviation of the logarithm of the length.
     sigma: f64,
+    /// Highest allowed length.
     most: f64,
 }
 
 impl Growth {
-    /// Memory of the answer at the moments ahead, when it has `made` tokens.
-    pub fn profile(&self, prompt: u64, made: u64) -> Profile {
-        let (prompt, made) = (prompt as f64, made as f64);
-        let there = self.longer(made).max(TAIL);
-        Profile::expect(
-            |ahead| prompt + (made + ahead as f64).min(self.most.max(made)),
+    /// Forecasts the memory of the answer once it has `generated` tokens.
+    pub fn profile(&self, prompt: u64, generated: u64) -> Profile {
+        let (prompt, generated) = (prompt as f64, generated as f64);
+        let alive = self.survival(generated).max(TAIL_MIN);
+        Profile::from_survival(
+            |ahead| prompt + (generated + ahead as f64).min(self.most.max(generated)),
             |ahead| match ahead {
                 0 => 1.0,
-                _ => (self.longer(made + ahead as f64) / there).min(1.0),
+                _ => (self.survival(generated + ahead as f64) / alive).min(1.0),
             },
         )
     }
 
-    /// Mean length.
+    /// Returns the mean length.
     pub fn length(&self) -> f64 {
         (self.mean + self.sigma * self.sigma / 2.0).exp().clamp(1.0, self.most)
     }
 
-    /// Memory times time that it is expected to take, in tokens squared.
+    /// Returns the expected memory use over time, in tokens squared.
     pub fn cost(&self, prompt: u64) -> f64 {
         let length = self.length();
         (prompt as f64 + length / 2.0) * length
     }
 
-    /// Its size, as the users weigh requests.
+    /// Returns the size of the request as users weigh it: prompt tokens and weighted output tokens.
     pub fn size(&self, prompt: u64) -> f64 {
-        prompt as f64 + TOKEN_WORTH * self.length()
+        prompt as f64 + OUTPUT_TOKEN_WEIGHT * self.length()
     }
 
-    /// The probability that it becomes longer than this.
-    fn longer(&self, tokens: f64) -> f64 {
+    /// Returns the probability that the answer becomes longer than this.
+    fn survival(&self, tokens: f64) -> f64 {
         if tokens >= self.most {
             return 0.0;
         }
         if tokens < 1.0 {
             return 1.0;
         }
-        above((tokens.ln() - self.mean) / self.sigma)
+        normal_tail((tokens.ln() - self.mean) / self.sigma)
     }
 }
 
-/// What a service's usual request costs and is worth, learned from those that come.
+/// Average cost and size of a service's requests, learned from those that arrive.
 #[derive(Clone, Copy, Debug)]
 pub struct Usual {
     cost: f64,
     size: f64,
-    seen: f64,
+    count: f64,
 }
 
 impl Default for Usual {
-    /// Until requests were seen: 3,200 prompt tokens and an answer of 864.
+    /// Initial guess: 3,200 prompt tokens and an answer of 864.
     fn default() -> Self {
-        Usual { cost: 3_632.0 * 864.0, size: 3_200.0 + TOKEN_WORTH * 864.0, seen: FIRST_WEIGHT }
+        Usual {
+            cost: 3_632.0 * 864.0,
+            size: 3_200.0 + OUTPUT_TOKEN_WEIGHT * 864.0,
+            count: INITIAL_WEIGHT,
+        }
     }
 }
 
 impl Usual {
-    /// A request came.
+    /// Records a request that arrived.
     pub fn observe(&mut self, growth: &Growth, prompt: u64) {
-        self.seen += 1.0;
-        let weight = (1.0 / self.seen).max(NEW_WEIGHT);
+        self.count += 1.0;
+        let weight = (1.0 / self.count).max(SAMPLE_WEIGHT_MIN);
         self.cost += weight * (growth.cost(prompt) - self.cost);
         self.size += weight * (growth.size(prompt) - self.size);
     }
 
-    /// What a request gives for the memory that it is expected to take, against the usual one: an
-    /// answer of twice the length keeps more memory for twice the time, and is worth less than twice
-    /// as much to its caller.
+    /// Returns a request's value for the memory that it is expected to take, relative to the
+    /// average request. An answer of twice the length takes more memory for twice the time, but is
+    /// worth less than twice as much to its caller.
     pub fn gives(&self, growth: &Growth, prompt: u64) -> f64 {
-        let worth = FIXED_WORTH + (1.0 - FIXED_WORTH) * growth.size(prompt) / self.size.max(1.0);
-        worth * self.cost / growth.cost(prompt).max(1.0)
+        let value = FIXED_VALUE + (1.0 - FIXED_VALUE) * growth.size(prompt) / self.size.max(1.0);
+        value * self.cost / growth.cost(prompt).max(1.0)
     }
 }
 
-/// The probability that a normal value lies above `x` standard deviations; a rational approximation
-/// that is right to seven places (Abramowitz and Stegun, 26.2.17).
-fn above(x: f64) -> f64 {
+/// Returns the probability that a standard normal variable exceeds `x`, by a rational approximation
+/// that is accurate to seven places (Abramowitz and Stegun, 26.2.17).
+fn normal_tail(x: f64) -> f64 {
     const POWERS: [f64; 5] = [0.319381530, -0.356563782, 1.781477937, -1.821255978, 1.330274429];
     let t = 1.0 / (1.0 + 0.2316419 * x.abs());
     let sum = POWERS.iter().rev().fold(0.0, |sum, p| (sum + p) * t);
--- a/crates/router/src/holder.rs
+++ b/crates/router/src/holder.rs
@@ -1,8 +1,9 @@
-//! Who may order engines to change their stage.
+//! Leadership over model engines: which process may order them to change their stage.
 //!
-//! One process holds the right by a lease in the store, under a fencing token that grows with each
-//! holder. It stops well before its lease can have lapsed, and a new holder waits until an order of
-//! the one before it is old enough, so that two holders never take turns at an engine.
+//! One process is the leader through a lease in the store, under a fencing token that grows with
+//! each leader. It stops giving orders well before its lease can have expired, and a new leader
+//! waits until its predecessor's last order is old enough, so that two leaders never alternate at
+//! an engine.
 
 use std::time::Duration;
 
@@ -11,51 +12,52 @@
 
 use crate::catalog::{ServerId, Stage};
 
-/// Length of the holder's lease: three renewals, and longer than one slow call.
+/// Length of the leader's lease: three renewals, and longer than one slow call.
 pub const LEASE: Duration = Duration::from_millis(4_000);
-/// Pause between two renewals.
+/// Interval between two renewals.
 pub const RENEW: Duration = Duration::from_millis(1_200);
-/// The holder stops this long before its lease can have lapsed: the longest wait for an order.
-pub const MARGIN: Duration = Duration::from_millis(1_000);
+/// The leader stops giving orders this long before its lease can have expired: the longest wait for
+/// an order.
+pub const STOP_MARGIN: Duration = Duration::from_millis(1_000);
 
-/// An order to an engine.
+/// An order to an engine to change its stage.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Order {
-    /// The engine, by its life.
+    /// The engine's incarnation.
     pub to: ServerId,
-    /// The stage that it is to have.
+    /// The stage that it should have.
     pub stage: Stage,
-    /// Who orders.
+    /// Name of the leader that gives the order.
     pub holder: String,
-    /// Grows with each holder.
+    /// Fencing token; grows with each leader.
     pub fence: u64,
 }
 
-/// The record of all holders, kept for good.
+/// Record of the latest leader in the store, which is never deleted.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Record {
-    /// Fencing token given last.
+    /// Latest fencing token.
     pub fence: u64,
-    /// Who has it.
+    /// Name of the leader that has this token.
     pub holder: String,
 }
 
-/// The right as this process has it.
+/// Leadership as held by this process.
 #[derive(Clone, Copy, Debug)]
 pub struct Held {
     /// Fencing token.
     pub fence: u64,
-    /// The lease in the store.
+    /// Id of the lease in the store.
     pub lease: u64,
-    /// When the lease lapses at the earliest.
-    ends_at: Timestamp,
-    /// When the first order may go out.
-    orders_at: Timestamp,
+    /// Earliest time at which the lease expires.
+    expires_at: Timestamp,
+    /// Earliest time of the first order.
+    orders_from: Timestamp,
 }
 
 impl Held {
-    /// The right was taken by a call sent at `sent`, answered at `now`; `first` when nobody ever
-    /// held it before.
+    /// Leadership was acquired by a call sent at `sent` and answered at `now`; `first` when there
+    /// was no leader before.
     pub fn taken(
         sent: Timestamp,
         now: Timestamp,
@@ -64,22 +66,22 @@
         gap: Duration,
         first: bool,
     ) -> Self {
-        let orders_at = if first { now } else { now.after(gap) };
-        Held { fence, lease, ends_at: sent.after(LEASE), orders_at }
+        let orders_from = if first { now } else { now.after(gap) };
+        Held { fence, lease, expires_at: sent.after(LEASE), orders_from }
     }
 
-    /// A renewal sent at `sent` was acknowledged.
+    /// Records a renewal that was sent at `sent` and acknowledged.
     pub fn renewed(&mut self, sent: Timestamp) {
-        self.ends_at = self.ends_at.max(sent.after(LEASE));
+        self.expires_at = self.expires_at.max(sent.after(LEASE));
     }
 
-    /// May an order go out now?
+    /// May an order be sent now?
     pub fn may_order(&self, now: Timestamp) -> bool {
-        now >= self.orders_at && now < self.ends_at.before(MARGIN)
+        now >= self.orders_from && now < self.expires_at.before(STOP_MARGIN)
     }
 
-    /// Has the lease lapsed for certain, as far as this process can tell?
+    /// Can the lease have expired?
     pub fn lapsed(&self, now: Timestamp) -> bool {
-        now >= self.ends_at
+        now >= self.expires_at
     }
 }
--- a/crates/router/src/learned.rs
+++ b/crates/router/src/learned.rs
@@ -1,47 +1,48 @@
-//! What is learned of services and routes from what passes through, in place of figures of one customer.
+//! Statistics of services and routes, learned from traffic instead of being fixed to the figures of
+//! one customer.
 
 use std::collections::HashMap;
 
-use crate::growth::{Lengths, Usual};
+use crate::growth::{AnswerLengths, Usual};
 use crate::reading::Reading;
 use crate::stages::Shape;
 
-/// What is learned of one service's engines and requests.
+/// Statistics of one service's engines and requests.
 #[derive(Clone, Debug, Default)]
 pub struct Service {
-    /// How fast its engines read.
+    /// Prefill speed of its engines.
     pub reading: Reading,
-    /// Shape of its requests, for sharing its engines out.
+    /// Average shape of its requests, from which engines are divided between the stages.
     pub shape: Shape,
-    /// Its usual request, against which others are weighed.
+    /// Average request, the reference for the value of others.
     pub usual: Usual,
 }
 
-/// All that is learned.
+/// Statistics of all services and routes.
 #[derive(Clone, Debug, Default)]
 pub struct Learned {
     services: HashMap<String, Service>,
-    lengths: HashMap<String, Lengths>,
+    lengths: HashMap<String, AnswerLengths>,
 }
 
 impl Learned {
-    /// What is known of a service, to begin with the first guesses.
+    /// Returns the statistics of a service, initially the default guesses.
     pub fn service(&mut self, name: &str) -> &mut Service {
         if !self.services.contains_key(name) {
             self.services.insert(name.to_owned(), Service::default());
         }
-        self.services.get_mut(name).expect("it was inserted")
+        self.services.get_mut(name).expect("inserted above")
     }
 
-    /// Lengths of the answers of a route, to begin with the first guess.
-    pub fn lengths(&mut self, route: &str) -> &mut Lengths {
+    /// Returns the answer lengths of a route, initially the default guess.
+    pub fn lengths(&mut self, route: &str) -> &mut AnswerLengths {
         if !self.lengths.contains_key(route) {
-            self.lengths.insert(route.to_owned(), Lengths::default());
+            self.lengths.insert(route.to_owned(), AnswerLengths::default());
         }
-        self.lengths.get_mut(route).expect("it was inserted")
+        self.lengths.get_mut(route).expect("inserted above")
     }
 
-    /// Forgets routes and services that are gone.
+    /// Drops the statistics of routes and services that are gone.
     pub fn retain(&mut self, route: impl Fn(&str) -> bool, service: impl Fn(&str) -> bool) {
         self.lengths.retain(|name, _| route(name));
         self.services.retain(|name, _| service(name));
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions of the gateway: which backend server takes a request, when one is refused, what may be
-//! sent again.
+//! Routing decisions of the gateway: which backend server takes a request, when a request is
+//! refused, and what may be retried.
 //!
-//! Nothing here opens a socket, reads a clock or draws from global randomness. Each module answers
-//! one question; the daemon asks it with the present moment and acts on the answer.
+//! Nothing here opens a socket, reads a clock or uses global randomness. Each module makes one kind
+//! of decision; the daemon passes in the current time and carries out the result.
 
 pub mod accounts;
 pub mod budget;
@@ -24,7 +24,6 @@
 pub mod losses;
 pub mod node;
 pub mod outcome;
-pub mod pack;
 pub mod patience;
 pub mod pauses;
 pub mod plain;
@@ -38,4 +37,5 @@
 pub mod routes;
 pub mod share;
 pub mod stages;
+pub mod varint;
 pub mod zones;
--- a/crates/router/src/prefill.rs
+++ b/crates/router/src/prefill.rs
@@ -1,7 +1,8 @@
-//! Which engine reads a prompt, and when it would be read.
+//! Chooses the prefill engine for a prompt and predicts when prefill ends.
 //!
-//! Answers the load of prompts that clump: the engine whose queue, as all entries together know it,
-//! has the prompt read first. The foretold moment decides whether a request can be in time at all.
+//! When many prompts arrive at once, the engine is chosen whose queue, counting the load of all
+//! gateways, lets it finish first. The predicted time decides whether a request can be in time at
+//! all.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,88 +11,88 @@
 
 use crate::catalog::{Server, ServerId};
 use crate::reading::Reading;
-use crate::share::{Work, compared};
+use crate::share::{Work, sample_size};
 
-/// What a reader in another availability zone than the engine that writes costs in a comparison: its
-/// transfer takes twice as long and up to three times the price, and a read takes some 100 ms.
-pub const APART: Duration = Duration::from_millis(40);
-/// Spread of a comparison, so that equal readers are all used.
+/// Penalty for a prefill engine in another availability zone than the decode engine: the transfer
+/// takes twice as long and costs up to three times as much, and prefill takes some 100 ms.
+pub const CROSS_ZONE_PENALTY: Duration = Duration::from_millis(40);
+/// Random spread, so that equal prefill engines are all used.
 const JITTER: Duration = Duration::from_millis(6);
-/// Weight of a new observation of an engine's pace: about the last five reads count, so that an
-/// engine that turned slow is known within half a second of reading.
-pub const NEW_WEIGHT: f64 = 0.2;
-/// Bounds of a pace: no engine is faster than the others by more, and one that is slower by more is
-/// passed over for its queue alone.
-pub const PACES: (f64, f64) = (0.8, 10.0);
+/// Weight of a new observation of an engine's speed: about the last five prompts count, so that an
+/// engine that becomes slow is recognized within half a second of prefill.
+pub const SAMPLE_WEIGHT: f64 = 0.2;
+/// Range of a speed factor: no engine is faster than the others by more, and one that is slower by
+/// more is avoided for its queue alone.
+pub const FACTOR_RANGE: (f64, f64) = (0.8, 10.0);
 
-/// How the pace of each engine compares with its service's; 2.0 is twice as slow.
+/// Speed of each engine relative to its service's average; 2.0 is twice as slow.
 #[derive(Clone, Debug, Default)]
 pub struct Paces {
-    paces: HashMap<ServerId, f64>,
+    factors: HashMap<ServerId, f64>,
 }
 
 impl Paces {
-    /// The pace of an engine.
+    /// Returns the speed factor of an engine.
     pub fn of(&self, id: &ServerId) -> f64 {
-        self.paces.get(id).copied().unwrap_or(1.0)
+        self.factors.get(id).copied().unwrap_or(1.0)
     }
 
-    /// A read took `took` where a pace of 1.0 makes `plain`.
-    pub fn observe(&mut self, id: &ServerId, took: Duration, plain: Duration) {
-        let seen = took.as_secs_f64() / plain.as_secs_f64().max(1e-3);
-        let pace = self.paces.entry(id.clone()).or_insert(1.0);
-        *pace += NEW_WEIGHT * (seen.clamp(PACES.0, PACES.1) - *pace);
+    /// Records a prefill that took `took` where a factor of 1.0 predicts `expected`.
+    pub fn observe(&mut self, id: &ServerId, took: Duration, expected: Duration) {
+        let observed = took.as_secs_f64() / expected.as_secs_f64().max(1e-3);
+        let factor = self.factors.entry(id.clone()).or_insert(1.0);
+        *factor += SAMPLE_WEIGHT * (observed.clamp(FACTOR_RANGE.0, FACTOR_RANGE.1) - *factor);
     }
 
     /// Forgets engines that are gone.
     pub fn retain(&mut self, alive: impl Fn(&ServerId) -> bool) {
-        self.paces.retain(|id, _| alive(id));
+        self.factors.retain(|id, _| alive(id));
     }
 }
 
-/// What one choice of a reader is made of.
+/// Inputs for choosing a prefill engine.
 pub struct Choice<'a> {
-    /// Pace of each engine.
+    /// Speed factor of each engine.
     pub paces: &'a Paces,
-    /// Reading speed of the service's engines.
+    /// Prefill speed of the service's engines.
     pub reading: &'a Reading,
     /// Tokens of the prompt.
     pub prompt: u64,
-    /// Availability zone of the engine that writes the answer, or of the entry while there is none.
+    /// Availability zone of the decode engine, or of the gateway while none is chosen.
     pub zone: &'a str,
-    /// Live entries.
+    /// Live gateways.
     pub entries: usize,
 }
 
-/// The reader with the earliest end among some, and that moment; `work` is the work of all entries
-/// at an engine, `draw` is uniform in 0..1.
+/// Returns the prefill engine with the earliest predicted end, and that time; `work` is the load of
+/// all gateways at an engine, `draw` is uniform in 0..1.
 pub fn pick<'a>(
     now: Timestamp,
-    readers: impl Iterator<Item = &'a Server>,
+    engines: impl Iterator<Item = &'a Server>,
     work: impl Fn(&ServerId) -> Work,
     choice: &Choice<'_>,
     mut draw: impl FnMut() -> f64,
 ) -> Option<(&'a Server, Timestamp)> {
-    let mut readers: Vec<(f64, &Server)> = readers.map(|s| (draw(), s)).collect();
-    readers.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let few = compared(readers.len(), choice.entries);
-    let rank = |(draw, s): &(f64, &'a Server)| {
+    let mut engines: Vec<(f64, &Server)> = engines.map(|s| (draw(), s)).collect();
+    engines.sort_by(|a, b| a.0.total_cmp(&b.0));
+    let sample_len = sample_size(engines.len(), choice.entries);
+    let predict = |(draw, s): &(f64, &'a Server)| {
         let w = work(&s.id);
-        // An engine queues hardly more reads than it has slots, and turns the rest away.
+        // An engine queues hardly more prompts than it has slots and rejects the rest.
         if w.reads >= s.slots.max(1) {
             return None;
         }
         let took = choice.reading.time(w, choice.prompt).mul_f64(choice.paces.of(&s.id));
-        let apart = if s.zone == choice.zone { Duration::ZERO } else { APART };
-        let extra = apart + JITTER.mul_f64(*draw);
+        let penalty = if s.zone == choice.zone { Duration::ZERO } else { CROSS_ZONE_PENALTY };
+        let extra = penalty + JITTER.mul_f64(*draw);
         Some((now.after(took), now.after(took + extra), *s))
     };
-    // One of the zone is looked at besides; the engines that write are spread over the zones.
-    let (few, others) = readers.split_at(few.min(readers.len()));
-    let near = others.iter().find(|(_, s)| s.zone == choice.zone);
-    let first = |at: &(Timestamp, Timestamp, &Server)| at.1;
-    let some = few.iter().chain(near).filter_map(rank).min_by_key(first);
-    // When all of the few are full, the others are looked at too.
-    let found = some.or_else(|| others.iter().filter_map(rank).min_by_key(first));
+    // One engine of the zone is always compared too; decode engines are spread over the zones.
+    let (sample, others) = engines.split_at(sample_len.min(engines.len()));
+    let same_zone = others.iter().find(|(_, s)| s.zone == choice.zone);
+    let penalized_end = |at: &(Timestamp, Timestamp, &Server)| at.1;
+    let best = sample.iter().chain(same_zone).filter_map(predict).min_by_key(penalized_end);
+    // When the whole sample is full, the other engines are considered too.
+    let found = best.or_else(|| others.iter().filter_map(predict).min_by_key(penalized_end));
     found.map(|(at, _, s)| (s, at))
 }
--- a/crates/router/src/pulls.rs
+++ b/crates/router/src/pulls.rs
@@ -1,9 +1,9 @@
-//! What is fetched from which peer, and when.
+//! Decides what is fetched from which peer, and when.
 //!
-//! Peers tell the versions of what they know; what is newer there is asked for by a call. A configuration
-//! may take seconds over a slow link and has a bound of seconds, while news of backend servers that leave is
-//! small and can't wait: each of both has a call of its own, and one at a time, so that the same
-//! configuration does not come from several peers at once.
+//! Peers announce the versions of what they know, and a gateway fetches what is newer. A
+//! configuration may take seconds over a slow link and has a bound of seconds, while a list of
+//! backend servers that leave is small and urgent. So each kind has its own call, and only one at a
+//! time, so that the same configuration does not come from several peers at once.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,17 +12,17 @@
 use ebonyloft_core::time::Timestamp;
 use serde::{Deserialize, Serialize};
 
-/// Shortest time between two calls to one peer for the same part, so that one which is a step ahead all the
-/// time is not asked at each of its messages.
-const GAP: Duration = Duration::from_millis(150);
-/// Shortest time until a part is asked for again after a peer had nothing to give: another one may.
-const REST: Duration = Duration::from_millis(50);
+/// Shortest time between two calls of one kind to the same peer, so that a peer that is always
+/// slightly ahead is not called after each of its messages.
+const PEER_INTERVAL: Duration = Duration::from_millis(150);
+/// Back-off of a kind after a peer had nothing newer; another peer may have it.
+const BACKOFF: Duration = Duration::from_millis(50);
 
-/// How long a gateway that hears the store waits for its own answer when peers know newer lists: it gathers
-/// changes for 0.15 s, and a slow store answers within 0.3.
-const OWN_ANSWER: Duration = Duration::from_millis(500);
+/// How long a gateway that reaches the store waits for the store's own update when peers have newer
+/// lists: it gathers changes for 0.15 s, and a slow store answers within 0.3 s.
+const STORE_WAIT: Duration = Duration::from_millis(500);
 
-/// Versions of what a gateway knows.
+/// Versions of the state that a gateway has.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Versions {
     /// Version of the configuration.
@@ -37,7 +37,7 @@
     /// Nothing is newer than this.
     const ALL: Versions = Versions { config: u64::MAX, roster: u64::MAX, fleet: u64::MAX };
 
-    /// As told to a peer that is asked for a part only: of the others everything is known.
+    /// The versions to send when only one kind is requested: the others are marked as up to date.
     pub fn asking(self, part: Part) -> Versions {
         match part {
             Part::Config => Versions { config: self.config, ..Versions::ALL },
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Is a part newer at a peer that knows `theirs`?
+    /// Does a peer with the versions `theirs` have a newer state of this kind?
     pub fn lacks(self, part: Part, theirs: Versions) -> bool {
         match part {
             Part::Config => theirs.config > self.config,
@@ -54,7 +54,7 @@
     }
 }
 
-/// What is fetched by one call.
+/// What one call fetches.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Part {
     /// The configuration.
@@ -63,26 +63,26 @@
     Lists,
 }
 
-/// Calls that are under way or were lately.
+/// Calls in progress and recent calls.
 #[derive(Clone, Debug, Default)]
 pub struct Pulls {
-    config: Calls,
-    lists: Calls,
-    /// Revisions of the lists that are known here, and since when peers know newer ones.
+    config: CallState,
+    lists: CallState,
+    /// Revisions of the local lists, and since when peers have had newer ones.
     lists_known: (u64, u64),
     behind_since: Option<Timestamp>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Calls {
-    under_way: bool,
-    begun: HashMap<SocketAddr, Timestamp>,
-    rests_until: Timestamp,
+struct CallState {
+    in_progress: bool,
+    started: HashMap<SocketAddr, Timestamp>,
+    backoff_until: Timestamp,
 }
 
 impl Pulls {
-    /// Should the lists of a peer that knows `theirs` be fetched by a gateway that hears the store itself?
-    /// Not for as long as its own answer from there may be on the way.
+    /// Should a gateway that reaches the store itself fetch the lists of a peer with the versions
+    /// `theirs`? Not while the store's own update may still arrive.
     pub fn is_behind(&mut self, now: Timestamp, own: Versions, theirs: Versions) -> bool {
         let lists = (own.roster, own.fleet);
         if self.lists_known != lists {
@@ -91,31 +91,31 @@
         if !own.lacks(Part::Lists, theirs) {
             return false;
         }
-        now.since(*self.behind_since.get_or_insert(now)) >= OWN_ANSWER
+        now.since(*self.behind_since.get_or_insert(now)) >= STORE_WAIT
     }
 
-    /// May this peer be asked for the part now? Notes that it is.
+    /// Records a call to this peer and returns true, unless none may be made now.
     pub fn begin(&mut self, now: Timestamp, part: Part, from: SocketAddr) -> bool {
         let calls = self.calls(part);
-        calls.begun.retain(|_, at| now.since(*at) <= GAP);
-        if calls.under_way || now < calls.rests_until || calls.begun.contains_key(&from) {
+        calls.started.retain(|_, at| now.since(*at) <= PEER_INTERVAL);
+        if calls.in_progress || now < calls.backoff_until || calls.started.contains_key(&from) {
             return false;
         }
-        calls.begun.insert(from, now);
-        calls.under_way = true;
+        calls.started.insert(from, now);
+        calls.in_progress = true;
         true
     }
 
-    /// The call for the part has ended; `got` when it brought something.
+    /// Records the end of a call; `got` when it returned something newer.
     pub fn end(&mut self, now: Timestamp, part: Part, got: bool) {
         let calls = self.calls(part);
-        calls.under_way = false;
+        calls.in_progress = false;
         if !got {
-            calls.rests_until = now.after(REST);
+            calls.backoff_until = now.after(BACKOFF);
         }
     }
 
-    fn calls(&mut self, part: Part) -> &mut Calls {
+    fn calls(&mut self, part: Part) -> &mut CallState {
         match part {
             Part::Config => &mut self.config,
             Part::Lists => &mut self.lists,
--- a/crates/router/src/reading.rs
+++ b/crates/router/src/reading.rs
@@ -1,36 +1,38 @@
-//! How fast the engines of a service read prompts, learned from prompts that were read.
+//! Learns how fast the engines of a service process prompts.
 //!
-//! Answers the load of customers whose engines differ: one reads 33,333 tokens a second with 32 ms
-//! beside, another 55,556 with 3 ms. With the wrong one of these two rates requests are refused that
-//! could be in time, and the engines are shared out wrongly. Only reads of engines that were known to be idle count: what is
-//! known of a queue is late, and most of it is read by then, which made the rate a third too high. The
-//! line through time over tokens is the median of the slopes between any two of these reads, which
-//! unknown queues and single slow engines don't move.
+//! Engines differ between customers: one type processes 33,333 tokens a second with an overhead of
+//! 32 ms, another 55,556 with 3 ms. With the wrong figures, requests are refused that could be in
+//! time, and engines are divided wrongly between the stages. Only prompts sent to engines that were
+//! known to be idle count: load reports of a queue arrive late, when most of it is already
+//! processed, which made the rate a third too high. Time over tokens is fitted by quantile
+//! regression, which unknown queues and single slow engines hardly affect.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::share::Work;
 
-/// Prompt tokens a second that are taken for granted until reads were seen.
-pub const FIRST_RATE: f64 = 33_333.0;
-/// Time of a read beyond its tokens, until reads were seen: the first step, and the way there and back.
-pub const FIRST_SETUP: Duration = Duration::from_millis(30);
-/// Reads that are remembered: some thirty seconds of one gateway, so that a new habit shows in fifteen.
-const KEPT: usize = 32;
-/// Prompts of which the guess counts as a read, so that the first reads are no line through noise: one
-/// gateway learned 134,000 tokens a second from eight of them and never met an idle engine again.
-const GUESSED: [f64; 6] = [1_000.0, 1_800.0, 2_600.0, 3_800.0, 5_400.0, 8_000.0];
-/// Reads that take the place of one of these: after 24, some twelve seconds, the guess is left.
-const READS_A_GUESS: usize = 4;
-/// Reads from which on something is learned.
-pub const ENOUGH: usize = 6;
-/// Two reads of lengths closer than this part of their mean say little of the slope.
-const APART: f64 = 0.1;
-/// Part of the reads that are taken to have met nothing: the line has as many below it.
-const UNDISTURBED: f64 = 0.25;
-/// Bounds of a rate in tokens a second, against lines through nothing but noise.
-const RATES: (f64, f64) = (1_000.0, 1_000_000.0);
+/// Initial guess of the rate, in prompt tokens a second.
+pub const INITIAL_RATE: f64 = 33_333.0;
+/// Initial guess of the overhead: the first step and the network both ways.
+pub const INITIAL_OVERHEAD: Duration = Duration::from_millis(30);
+/// Samples kept: some thirty seconds of one gateway, so that a change shows within fifteen.
+const SAMPLES_MAX: usize = 32;
+/// Prompt lengths at which the initial guess counts as a sample, so that the first samples don't
+/// fit noise. Without them, one gateway learned 134,000 tokens a second from eight samples and then
+/// never met an idle engine again.
+const GUESS_LENGTHS: [f64; 6] = [1_000.0, 1_800.0, 2_600.0, 3_800.0, 5_400.0, 8_000.0];
+/// Real samples that replace one of these: after 24, some twelve seconds, none is left.
+const SAMPLES_PER_GUESS: usize = 4;
+/// Samples before anything is learned.
+pub const SAMPLES_MIN: usize = 6;
+/// Two prompts whose lengths differ by less than this fraction of their mean say little about the
+/// slope.
+const LENGTH_GAP_MIN: f64 = 0.1;
+/// Fraction of samples taken to be undisturbed: this many lie below the fitted line.
+const QUANTILE: f64 = 0.25;
+/// Accepted rates in tokens a second; rejects lines through noise.
+const RATE_RANGE: (f64, f64) = (1_000.0, 1_000_000.0);
 
 #[derive(Clone, Copy, Debug)]
 struct Sample {
@@ -38,65 +40,70 @@
     seconds: f64,
 }
 
-/// Reading speed of one service's engines.
+/// Prefill speed of one service's engines.
 #[derive(Clone, Debug)]
 pub struct Reading {
     samples: VecDeque<Sample>,
     rate: f64,
-    setup: f64,
+    overhead: f64,
 }
 
 impl Default for Reading {
     fn default() -> Self {
-        Reading { samples: VecDeque::new(), rate: FIRST_RATE, setup: FIRST_SETUP.as_secs_f64() }
+        Reading {
+            samples: VecDeque::new(),
+            rate: INITIAL_RATE,
+            overhead: INITIAL_OVERHEAD.as_secs_f64(),
+        }
     }
 }
 
 impl Reading {
-    /// Prompt tokens that one engine reads in a second when it does nothing else.
+    /// Returns the prompt tokens that one otherwise idle engine processes in a second.
     pub fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// Time of a read beyond its tokens.
-    pub fn setup(&self) -> Duration {
-        Duration::from_secs_f64(self.setup)
+    /// Returns the time per prompt that does not depend on its length.
+    pub fn overhead(&self) -> Duration {
+        Duration::from_secs_f64(self.overhead)
     }
 
-    /// How long an engine takes for a prompt behind this work.
+    /// Returns how long an engine with this load takes until it has processed a prompt.
     pub fn time(&self, work: Work, prompt: u64) -> Duration {
-        Duration::from_secs_f64((work.unread + prompt) as f64 / self.rate + self.setup)
+        Duration::from_secs_f64((work.unread + prompt) as f64 / self.rate + self.overhead)
     }
 
-    /// A prompt was read in `took` behind the work that was known when it was sent.
+    /// Records that prefill took `took`; `work` is the engine's load known when the prompt was
+    /// sent.
     pub fn observe(&mut self, work: Work, prompt: u64, took: Duration) {
         if work.reads > 0 {
             return;
         }
-        if self.samples.len() == KEPT {
+        if self.samples.len() == SAMPLES_MAX {
             self.samples.pop_front();
         }
         self.samples.push_back(Sample { tokens: prompt as f64, seconds: took.as_secs_f64() });
-        if self.samples.len() >= ENOUGH && self.differ() {
-            self.learn();
+        if self.samples.len() >= SAMPLES_MIN && self.lengths_differ() {
+            self.fit();
         }
     }
 
-    /// Do the prompts differ? Equal ones say nothing of the rate.
-    fn differ(&self) -> bool {
+    /// Do the prompt lengths differ? Equal ones say nothing about the rate.
+    fn lengths_differ(&self) -> bool {
         let tokens = self.samples.iter().map(|s| s.tokens);
         let (least, most) =
             tokens.fold((f64::MAX, 0.0_f64), |(least, most), t| (least.min(t), most.max(t)));
-        most > least * (1.0 + APART)
+        most > least * (1.0 + LENGTH_GAP_MIN)
     }
 
-    fn learn(&mut self) {
+    fn fit(&mut self) {
         let guess = |tokens: f64| Sample {
             tokens,
-            seconds: tokens / FIRST_RATE + FIRST_SETUP.as_secs_f64(),
+            seconds: tokens / INITIAL_RATE + INITIAL_OVERHEAD.as_secs_f64(),
         };
-        let left = self.samples.len() / READS_A_GUESS;
-        let guessed = GUESSED.iter().skip(left).map(|tokens| guess(*tokens));
+        let replaced = self.samples.len() / SAMPLES_PER_GUESS;
+        let guessed = GUESS_LENGTHS.iter().skip(replaced).map(|tokens| guess(*tokens));
         let all: Vec<Sample> = self.samples.iter().copied().chain(guessed).collect();
         let lines = all
             .iter()
@@ -106,35 +113,36 @@
         let best = lines.map(|line| (loss(&line), line)).min_by(|a, b| a.0.total_cmp(&b.0));
         if let Some((_, line)) = best {
             self.rate = 1.0 / line.slope;
-            self.setup = line.setup;
+            self.overhead = line.overhead;
         }
     }
 }
 
-/// Seconds of a read by its tokens.
+/// Prefill time as a linear function of the prompt length.
 #[derive(Clone, Copy, Debug)]
 struct Line {
     slope: f64,
-    setup: f64,
+    overhead: f64,
 }
 
 impl Line {
-    /// The line through two reads of different lengths, if it can be one of an engine.
+    /// Returns the line through two samples, unless their lengths are too close or no engine can
+    /// have this speed.
     fn through(a: Sample, b: Sample) -> Option<Line> {
-        let apart = b.tokens - a.tokens;
-        if apart.abs() <= APART * (a.tokens + b.tokens) / 2.0 {
+        let difference = b.tokens - a.tokens;
+        if difference.abs() <= LENGTH_GAP_MIN * (a.tokens + b.tokens) / 2.0 {
             return None;
         }
-        let slope = (b.seconds - a.seconds) / apart;
-        let setup = a.seconds - slope * a.tokens;
-        let rates = 1.0 / RATES.1..=1.0 / RATES.0;
-        (rates.contains(&slope) && setup >= 0.0).then_some(Line { slope, setup })
+        let slope = (b.seconds - a.seconds) / difference;
+        let overhead = a.seconds - slope * a.tokens;
+        let rates = 1.0 / RATE_RANGE.1..=1.0 / RATE_RANGE.0;
+        (rates.contains(&slope) && overhead >= 0.0).then_some(Line { slope, overhead })
     }
 
-    /// How badly the line fits a read; the line with the least sum has a quarter of the reads below
-    /// it (quantile regression), and passes through two of them.
+    /// Quantile loss of one sample; the line with the smallest sum has a quarter of the samples
+    /// below it, and passes through two of them.
     fn loss(&self, s: Sample) -> f64 {
-        let above = s.seconds - (self.setup + self.slope * s.tokens);
-        if above > 0.0 { above * UNDISTURBED } else { -above * (1.0 - UNDISTURBED) }
+        let above = s.seconds - (self.overhead + self.slope * s.tokens);
+        if above > 0.0 { above * QUANTILE } else { -above * (1.0 - QUANTILE) }
     }
 }
--- a/crates/router/src/recency.rs
+++ b/crates/router/src/recency.rs
@@ -1,117 +1,122 @@
-//! As of when the configuration in force is known to have been the newest one.
+//! Tracks as of when the configuration in force is known to be the newest.
 //!
-//! A key that was taken away must stop running work within a bound, also at a gateway that hears nothing. So
-//! a request with a key runs only while this moment lies less than the bound back. It is told from gateway
-//! to gateway as an age that only grows: whoever asks counts it from when the question was sent, so that no
-//! clock of another VM is trusted and time on the way is never lost.
+//! A revoked API key must stop working within a bound, also at a gateway that is cut off. So a
+//! request with a key is only served while the configuration was confirmed more recently than that.
+//! Gateways report this to each other as an age, which the gateway that asks counts from when it
+//! sent its query: no clock of another VM is trusted, and the time in transit is always included.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use ebonyloft_core::time::Timestamp;
 
-/// A store that drops its history keeps changes from those who wait for them for as long before.
+/// Before a store drops its history, watchers may miss changes for up to this long.
 pub const DEAF: Duration = Duration::from_millis(1_000);
-/// Part of the bound from which on others are asked.
-pub const ASK_PART: f64 = 0.3;
-/// Part of the bound after which who follows the store has asked it again; the rest is for others to hear.
-pub const CONFIRM_PART: f64 = 0.65;
-/// Shortest time between two questions.
-pub const ASK_GAP: Duration = Duration::from_millis(250);
-/// Questions unanswered for longer are forgotten.
-const ASK_LIFE: Duration = Duration::from_secs(2);
-/// Taken off the bound: clocks of two VMs run at different speeds.
-const DRIFT: Duration = Duration::from_millis(100);
+/// Fraction of the bound after which other gateways are queried.
+pub const QUERY_FRACTION: f64 = 0.3;
+/// Fraction of the bound after which a gateway that follows the store has asked it again; the rest
+/// is for the answer to reach the others.
+pub const CONFIRM_FRACTION: f64 = 0.65;
+/// Shortest time between two queries.
+pub const QUERY_INTERVAL: Duration = Duration::from_millis(250);
+/// Unanswered queries are forgotten after this time.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
+/// Subtracted from the bound, since the clocks of two VMs run at different speeds.
+const CLOCK_DRIFT: Duration = Duration::from_millis(100);
 
-/// What one gateway knows of its configuration's age.
+/// Age of the configuration of one gateway.
 #[derive(Clone, Debug, Default)]
 pub struct Recency {
-    held_at: Timestamp,
-    /// A newer version that others hold, and as of when that is the newest.
-    ahead: Option<(u64, Timestamp)>,
-    asked: HashMap<u64, Timestamp>,
-    ask_at: Timestamp,
+    confirmed_at: Timestamp,
+    /// A newer version that another gateway has, and as of when that version is known to be the
+    /// newest.
+    newer: Option<(u64, Timestamp)>,
+    queries: HashMap<u64, Timestamp>,
+    next_query: Timestamp,
 }
 
-/// A gateway's word on its configuration.
+/// The configuration that another gateway reports.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Held {
     /// Version in force there.
     pub version: u64,
-    /// Time since it was known to be the newest.
+    /// Time since that version was known to be the newest.
     pub age: Duration,
 }
 
 impl Recency {
-    /// The configuration in force was the newest one at `at`.
+    /// Records that the configuration in force was the newest at `at`.
     pub fn confirm(&mut self, at: Timestamp) {
-        self.held_at = self.held_at.max(at);
+        self.confirmed_at = self.confirmed_at.max(at);
     }
 
-    /// A watch that was sent at `sent`, to be answered within `wait`, has been answered.
+    /// Records the answer to a watch that was sent at `sent` and lasts at most `wait`; `empty` when
+    /// it reported no change.
     pub fn on_watch(&mut self, now: Timestamp, sent: Timestamp, wait: Duration, empty: bool) {
         let waited = empty && now >= sent.after(wait);
         let at = if waited { sent.after(wait) } else { sent };
         self.confirm(at.before(DEAF));
     }
 
-    /// A configuration of this version came into force.
+    /// Records that a configuration of this version is in force now.
     pub fn on_version(&mut self, version: u64) {
-        if let Some((ahead, at)) = self.ahead
-            && version >= ahead
+        if let Some((newer, at)) = self.newer
+            && version >= newer
         {
-            self.ahead = None;
+            self.newer = None;
             self.confirm(at);
         }
     }
 
-    /// As of when the configuration is known to be the newest.
-    pub fn held_at(&self) -> Timestamp {
-        self.held_at
+    /// Returns the time as of which the configuration is known to be the newest.
+    pub fn confirmed_at(&self) -> Timestamp {
+        self.confirmed_at
     }
 
-    /// Time since then.
+    /// Returns the time since then.
     pub fn age(&self, now: Timestamp) -> Duration {
-        now.since(self.held_at)
+        now.since(self.confirmed_at)
     }
 
-    /// May requests with keys run, when a key that was taken away must stop within `bound`?
+    /// May requests with API keys be served, when a revoked key must stop working within `bound`?
     pub fn holds(&self, now: Timestamp, bound: Option<Duration>) -> bool {
-        bound.is_none_or(|bound| self.age(now) < bound.saturating_sub(DRIFT))
+        bound.is_none_or(|bound| self.age(now) < bound.saturating_sub(CLOCK_DRIFT))
     }
 
-    /// When the store must have been asked again.
+    /// Returns the time by which the store must be asked again.
     pub fn confirm_by(&self, bound: Duration) -> Timestamp {
-        self.held_at.after(bound.mul_f64(CONFIRM_PART))
+        self.confirmed_at.after(bound.mul_f64(CONFIRM_FRACTION))
     }
 
-    /// Should another gateway be asked now? Notes that it is, under this number.
+    /// Records a query under this number and returns true, unless no other gateway need be queried
+    /// now.
     pub fn ask(&mut self, now: Timestamp, bound: Duration, number: u64) -> bool {
-        if self.age(now) < bound.mul_f64(ASK_PART) || now < self.ask_at {
+        if self.age(now) < bound.mul_f64(QUERY_FRACTION) || now < self.next_query {
             return false;
         }
-        self.ask_at = now.after(ASK_GAP);
-        self.asked.retain(|_, sent| now.since(*sent) < ASK_LIFE);
-        self.asked.insert(number, now);
+        self.next_query = now.after(QUERY_INTERVAL);
+        self.queries.retain(|_, sent| now.since(*sent) < QUERY_TIMEOUT);
+        self.queries.insert(number, now);
         true
     }
 
-    /// The answer to a question; `version` is in force here. An answer to no question is not believed.
+    /// Handles the answer to a query; `version` is in force here. Answers that match no query are
+    /// ignored.
     pub fn on_answer(&mut self, number: u64, version: u64, theirs: Held) {
-        if let Some(sent) = self.asked.remove(&number) {
+        if let Some(sent) = self.queries.remove(&number) {
             self.on_held(sent, version, theirs);
         }
     }
 
-    /// Another gateway's word, in answer to what was sent at `sent`.
+    /// Handles the report of another gateway in reply to a message sent at `sent`.
     pub fn on_held(&mut self, sent: Timestamp, version: u64, theirs: Held) {
         let at = sent.before(theirs.age);
         if theirs.version <= version {
             return self.confirm(at);
         }
-        let newer = self.ahead.is_none_or(|(v, t)| (theirs.version, at) > (v, t));
-        if newer {
-            self.ahead = Some((theirs.version, at));
+        let is_newer = self.newer.is_none_or(|(v, t)| (theirs.version, at) > (v, t));
+        if is_newer {
+            self.newer = Some((theirs.version, at));
         }
     }
 }
--- a/crates/router/src/roster.rs
+++ b/crates/router/src/roster.rs
@@ -1,10 +1,11 @@
-//! The backend servers that this process believes in.
+//! Registry of the backend servers that this gateway uses.
 //!
-//! Registrations come from the store with revisions; a lower revision never replaces a higher one.
-//! A registration that vanished while the store could not be believed is kept until it can.
+//! Registrations come from the store with revisions, and a lower revision never replaces a higher
+//! one. A registration that vanishes while the store is not trusted is kept until it is.
 //!
-//! A backend server also says with its answers that it leaves. That holds for the life that said it, whatever
-//! a store that is silent, late or behind says of it, and ends with that life.
+//! A backend server also announces in its answers that it is leaving. This counts for the
+//! incarnation that announced it, whatever a store that is unreachable or behind says, and ends
+//! with that incarnation.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
@@ -13,86 +14,88 @@
 
 use crate::catalog::{Server, ServerId};
 
-/// What a registration says.
+/// Content of a registration.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Entry {
     /// A backend server.
     Server(Server),
-    /// Something that names none: another writer's, or damaged.
+    /// An invalid entry: damaged, or written by another program.
     Wrong,
-    /// It was removed.
+    /// The registration was removed.
     Removed,
 }
 
-/// One change of the list.
+/// One change of the registry.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Change {
     /// Name of the registration.
     pub name: String,
-    /// What it says now.
+    /// Its new content.
     pub entry: Entry,
     /// Revision of the change.
     pub revision: u64,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct Registered {
     server: Server,
     revision: u64,
-    /// The registration vanished while the store could not be believed.
-    unheard: bool,
+    /// The registration vanished while the store was not trusted.
+    unconfirmed: bool,
 }
 
-/// What a change did to the belief.
+/// Effect of a change on the registry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Effect {
     /// A new backend server.
     Joined,
-    /// It said that it is leaving.
+    /// It announced that it is leaving.
     Leaving,
-    /// Another life of it began, which knows nothing of the one before.
+    /// A new incarnation of a known backend server, which has none of the state of the previous
+    /// one.
     Reborn,
-    /// Its registration names no backend server any more.
+    /// Its registration is no longer valid.
     Wrong,
-    /// Its registration is gone, and so is it.
+    /// Its registration is gone, and so is the backend server.
     Gone,
-    /// Its registration is gone, but the store can't be believed yet.
+    /// Its registration is gone, but the store is not trusted yet.
     Unheard,
-    /// Something else about it changed.
+    /// Some other property changed.
     Changed,
-    /// Nothing new.
+    /// No change.
     Stale,
 }
 
-/// All backend servers known.
+/// All known backend servers.
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
     /// By name.
-    known: BTreeMap<String, Known>,
+    known: BTreeMap<String, Registered>,
     /// Revisions of removals, so that an older registration does not come back.
     removed: HashMap<String, u64>,
-    /// Removals up to this revision may be forgotten.
-    forgotten: u64,
-    /// Lives that said themselves that they leave.
-    said: BTreeSet<ServerId>,
+    /// Removals up to this revision may have been dropped.
+    dropped_revision: u64,
+    /// Incarnations that announced themselves that they are leaving.
+    leaving: BTreeSet<ServerId>,
     revision: u64,
     complete: bool,
     changed_at: Timestamp,
 }
 
-/// Removals remembered; ids are never used again, and a late registration is seconds late.
+/// Highest number of removals remembered: ids are never reused, and a delayed registration arrives
+/// within seconds.
 const REMOVED_MAX: usize = 4_096;
-/// Lives remembered that said that they leave and are not registered, as far as is known.
-const SAID_MAX: usize = 4_096;
+/// Number of leaving announcements after which those of unregistered incarnations are dropped.
+const LEAVING_MAX: usize = 4_096;
 
 impl Roster {
-    /// Takes one change; `settled` says whether a removal means that the backend server is gone.
+    /// Applies one change; `settled` when a removal means that the backend server is gone.
     pub fn apply(&mut self, change: Change, settled: bool) -> Effect {
         self.revision = self.revision.max(change.revision);
-        self.take(change, settled)
+        self.apply_change(change, settled)
     }
 
-    fn take(&mut self, change: Change, settled: bool) -> Effect {
+    fn apply_change(&mut self, change: Change, settled: bool) -> Effect {
         if self.removed.get(&change.name).is_some_and(|r| *r >= change.revision) {
             return Effect::Stale;
         }
@@ -103,7 +106,7 @@
         }
     }
 
-    /// Takes a whole list as of `revision`; what is not in it was removed.
+    /// Applies a complete list as of `revision`; a backend server that is not in it was removed.
     pub fn replace(
         &mut self,
         list: Vec<Change>,
@@ -120,8 +123,9 @@
             .collect();
         for change in list {
             let name = change.name.clone();
-            // Items may be newer than the list: what changed in between is still to come.
-            effects.push((name, self.take(change, settled)));
+            // Entries may be newer than the list's revision; the changes in between are still to
+            // come.
+            effects.push((name, self.apply_change(change, settled)));
         }
         for name in missing {
             let effect = self.remove(&name, revision, settled);
@@ -133,7 +137,8 @@
         effects
     }
 
-    /// Takes all changes behind some revision up to `revision`, as another process knows them.
+    /// Applies all changes between a known revision and `revision`, as fetched from another
+    /// gateway.
     pub fn catch_up(
         &mut self,
         changes: Vec<Change>,
@@ -143,101 +148,109 @@
         let mut effects = Vec::new();
         for change in changes {
             let name = change.name.clone();
-            effects.push((name, self.take(change, settled)));
+            effects.push((name, self.apply_change(change, settled)));
         }
         self.revision = self.revision.max(revision);
         effects.retain(|(_, e)| *e != Effect::Stale);
         effects
     }
 
-    /// The store can be believed again: what is still missing is gone.
+    /// Removes the backend servers whose registration is still missing now that the store is
+    /// trusted.
     pub fn settle(&mut self) -> Vec<String> {
-        let gone: Vec<String> =
-            self.known.iter().filter(|(_, k)| k.unheard).map(|(name, _)| name.clone()).collect();
+        let gone: Vec<String> = self
+            .known
+            .iter()
+            .filter(|(_, k)| k.unconfirmed)
+            .map(|(name, _)| name.clone())
+            .collect();
         for name in &gone {
             let revision = self.known.remove(name).map_or(0, |k| k.revision);
-            self.remember(name, revision);
+            self.remember_removal(name, revision);
         }
         gone
     }
 
-    /// Another life answered at this backend server's address: it is gone.
+    /// Removes a backend server because another incarnation answered at its address; false when it
+    /// was not known.
     pub fn replaced(&mut self, id: &ServerId) -> bool {
         if self.get(id).is_none() {
             return false;
         }
         let revision = self.known.remove(&id.name).map_or(0, |k| k.revision);
-        self.remember(&id.name, revision);
+        self.remember_removal(&id.name, revision);
         true
     }
 
-    /// A life said that it leaves; true when that is news.
+    /// Records that an incarnation announced that it is leaving; true when this was not known.
     pub fn hear_leaving(&mut self, id: &ServerId) -> bool {
         if self.removed.contains_key(&id.name) || self.get(id).is_some_and(|s| s.draining) {
             return false;
         }
-        if self.said.len() >= SAID_MAX {
+        if self.leaving.len() >= LEAVING_MAX {
             let known = &self.known;
-            self.said.retain(|id| known.get(&id.name).is_some_and(|k| k.server.id == *id));
+            self.leaving.retain(|id| known.get(&id.name).is_some_and(|k| k.server.id == *id));
         }
-        self.said.insert(id.clone())
+        self.leaving.insert(id.clone())
     }
 
-    /// Lives that are registered as ready and said that they leave: what a peer may not know from the
-    /// store.
+    /// Returns the incarnations that announced that they are leaving but are still registered as
+    /// ready: peers may not know this from the store.
     pub fn said(&self) -> impl Iterator<Item = &ServerId> {
-        self.said.iter().filter(|id| self.get(id).is_some_and(|s| !s.draining))
+        self.leaving.iter().filter(|id| self.get(id).is_some_and(|s| !s.draining))
     }
 
-    /// Was a whole list ever read?
+    /// Was a complete list ever applied?
     pub fn is_complete(&self) -> bool {
         self.complete
     }
 
-    /// A backend server joined or left at this moment.
+    /// Records that a backend server joined or left now.
     pub fn note_change(&mut self, now: Timestamp) {
         self.changed_at = now;
     }
 
-    /// When a backend server joined or left last.
+    /// Returns when a backend server last joined or left.
     pub fn changed_at(&self) -> Timestamp {
         self.changed_at
     }
 
-    /// Highest revision seen.
+    /// Returns the highest revision seen.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The backend servers of a service that may be sent work.
+    /// Returns the backend servers of a service that may be sent requests.
     pub fn ready<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Server> {
-        let stays = move |s: &&Server| !s.draining && !self.said.contains(&s.id);
-        self.known.values().map(|k| &k.server).filter(move |s| s.service == service).filter(stays)
+        let usable = move |s: &&Server| !s.draining && !self.leaving.contains(&s.id);
+        self.known.values().map(|k| &k.server).filter(move |s| s.service == service).filter(usable)
     }
 
-    /// One backend server, in this life.
+    /// Returns the backend server of this incarnation, if it is registered.
     pub fn get(&self, id: &ServerId) -> Option<&Server> {
         self.named(&id.name).filter(|s| s.id == *id)
     }
 
-    /// Did the backend server of this name say that it leaves, or is it gone? Not known of one that was
-    /// never heard of.
+    /// Has the backend server of this name announced that it is leaving, or is it gone? False for a
+    /// name that was never seen.
     pub fn has_left(&self, name: &str) -> bool {
         match self.named(name) {
-            Some(server) => server.draining || self.said.contains(&server.id),
-            None => self.removed.contains_key(name) || self.said.iter().any(|id| id.name == name),
+            Some(server) => server.draining || self.leaving.contains(&server.id),
+            None => {
+                self.removed.contains_key(name) || self.leaving.iter().any(|id| id.name == name)
+            }
         }
     }
 
-    /// The backend server that has this name now.
+    /// Returns the backend server that is registered under this name.
     pub fn named(&self, name: &str) -> Option<&Server> {
         self.known.get(name).map(|k| &k.server)
     }
 
-    /// What changed behind a revision, for another process of the system; none when removals since
-    /// then are forgotten.
+    /// Returns the changes after a revision, for another gateway; `None` when removals since then
+    /// may have been dropped.
     pub fn since(&self, after: u64) -> Option<Vec<Change>> {
-        if after < self.forgotten || after == 0 {
+        if after < self.dropped_revision || after == 0 {
             return None;
         }
         let removed = self.removed.iter().filter(|(_, revision)| **revision > after);
@@ -247,20 +260,20 @@
             revision: *revision,
         });
         let known = self.known.iter().filter(|(_, k)| k.revision > after);
-        Some(known.map(row).chain(removed).collect())
+        Some(known.map(to_change).chain(removed).collect())
     }
 
-    /// All registrations, for another process of the system.
+    /// Returns all registrations, for another gateway.
     pub fn changes(&self) -> Vec<Change> {
-        self.known.iter().map(row).collect()
+        self.known.iter().map(to_change).collect()
     }
 
-    /// How many are known.
+    /// Returns the number of known backend servers.
     pub fn len(&self) -> usize {
         self.known.len()
     }
 
-    /// Is none known?
+    /// Is no backend server known?
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
@@ -268,7 +281,7 @@
     fn register(&mut self, name: String, server: Server, revision: u64) -> Effect {
         let effect = match self.known.get(&name) {
             Some(k) if k.revision > revision => return Effect::Stale,
-            Some(k) if k.server == server && !k.unheard => Effect::Stale,
+            Some(k) if k.server == server && !k.unconfirmed => Effect::Stale,
             Some(k) if server.id != k.server.id && !server.draining => Effect::Reborn,
             Some(k) if server.draining && !k.server.draining => Effect::Leaving,
             Some(_) => Effect::Changed,
@@ -276,13 +289,14 @@
             None => Effect::Joined,
         };
         self.removed.remove(&name);
-        // Only what another life under this name said is over.
-        self.said.retain(|id| id.name != name || *id == server.id);
-        self.known.insert(name, Known { server, revision, unheard: false });
+        // Drops only what other incarnations of this name announced.
+        self.leaving.retain(|id| id.name != name || *id == server.id);
+        self.known.insert(name, Registered { server, revision, unconfirmed: false });
         effect
     }
 
-    /// A wrong entry is not used, also while the store can't be believed: what it says is new.
+    /// An invalid entry is excluded even while the store is not trusted, because it is new
+    /// information.
     fn exclude(&mut self, name: &str, revision: u64) -> Effect {
         match self.remove(name, revision, true) {
             Effect::Gone => Effect::Wrong,
@@ -292,7 +306,7 @@
 
     fn remove(&mut self, name: &str, revision: u64, settled: bool) -> Effect {
         let Some(known) = self.known.get_mut(name) else {
-            self.remember(name, revision);
+            self.remember_removal(name, revision);
             return Effect::Stale;
         };
         if known.revision > revision {
@@ -300,28 +314,28 @@
         }
         known.revision = revision;
         if !settled && !known.server.draining {
-            known.unheard = true;
+            known.unconfirmed = true;
             return Effect::Unheard;
         }
         self.known.remove(name);
-        self.remember(name, revision);
+        self.remember_removal(name, revision);
         Effect::Gone
     }
 
-    fn remember(&mut self, name: &str, revision: u64) {
+    fn remember_removal(&mut self, name: &str, revision: u64) {
         if self.removed.len() >= REMOVED_MAX {
             self.removed.clear();
-            self.forgotten = self.revision;
+            self.dropped_revision = self.revision;
         }
-        self.said.retain(|id| id.name != name);
+        self.leaving.retain(|id| id.name != name);
         self.removed.insert(name.to_owned(), revision);
     }
 }
 
-/// What is known of a backend server, for another process: one whose registration vanished while the
-/// store could not be believed is passed on as removed, for the other one to judge.
-fn row((name, known): (&String, &Known)) -> Change {
-    let entry = match known.unheard {
+/// Encodes a backend server for another gateway. One whose registration vanished while the store
+/// was not trusted is passed on as removed, so that the other gateway decides for itself.
+fn to_change((name, known): (&String, &Registered)) -> Change {
+    let entry = match known.unconfirmed {
         true => Entry::Removed,
         false => Entry::Server(known.server.clone()),
     };
--- a/crates/router/src/share.rs
+++ b/crates/router/src/share.rs
@@ -1,7 +1,8 @@
-//! What entries tell each other several times a second: the work that each has at model engines.
+//! Load reports that gateways send each other several times a second, with their load at each model
+//! engine.
 //!
-//! Engines report their load with almost a second's delay, in which a burst fills their memory. The
-//! sum of what the entries themselves placed is known within one round of datagrams.
+//! Engines report their own load almost a second late, long enough for a burst to fill their
+//! memory. The load that the gateways themselves admitted is known within one round of datagrams.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -15,81 +16,84 @@
 use crate::fleet::Fleet;
 use crate::forecast::Profile;
 use crate::limits::Named;
-use crate::pack;
 use crate::quarantine::Word;
 use crate::quota::homes::{Missing, gateway_number};
 use crate::quota::{Answer, Ask, Key};
+use crate::varint;
 use crate::zones::Digest;
 
-/// Pause between two datagrams to each peer while there is work: a tenth of the delay with which
-/// engines report.
+/// Interval between two load reports to each peer while there is load: a tenth of the delay of the
+/// engines' own reports.
 pub const TELL: Duration = Duration::from_millis(100);
-/// Peers up to which that pause holds, so that reading what they tell stays a small part of a weak VM's
-/// work.
-pub const TELL_PEERS: usize = 32;
-/// That pause is added once more for each so many peers beyond: each of 410 gateways then sends fewer
-/// datagrams a second than each of 33 does.
-pub const TELL_MORE: usize = 16;
-/// How long a peer's share counts without a newer one; ten rounds at the usual pace.
-pub const SHARE_LIFE: Duration = Duration::from_millis(1_500);
-/// How long a peer counts as live without a message.
-pub const PEER_LIFE: Duration = Duration::from_millis(3_000);
-/// Rounds that a share outlives at least, when rounds are long: one in a hundred datagrams is lost.
-const ROUNDS: u32 = 4;
-
-/// Pause between two rounds with so many peers.
+/// Peers up to which this interval applies, so that reading their reports stays a small part of a
+/// weak VM's work.
+pub const INTERVAL_PEERS: usize = 32;
+/// The interval is added once more for each so many peers beyond: each of 410 gateways then sends
+/// fewer datagrams a second than each of 33.
+pub const INTERVAL_PEERS_STEP: usize = 16;
+/// Time after which the load of a peer without a newer report is dropped; ten rounds at the usual
+/// interval.
+pub const LOAD_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Time without a message after which a peer no longer counts as live.
+pub const PEER_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// Number of rounds for which a report is kept at least when rounds are long: one datagram in a
+/// hundred is lost.
+const LOAD_ROUNDS: u32 = 4;
+
+/// Returns the interval between two rounds with so many peers.
 pub fn pause(peers: usize) -> Duration {
-    let more = peers.saturating_sub(TELL_PEERS);
-    TELL + TELL.mul_f64(more as f64 / TELL_MORE as f64)
+    let more = peers.saturating_sub(INTERVAL_PEERS);
+    TELL + TELL.mul_f64(more as f64 / INTERVAL_PEERS_STEP as f64)
 }
 
-/// Work at one engine; in few bytes on the way, since those between availability zones are dear.
+/// Load at one engine, encoded in few bytes because traffic between availability zones is
+/// expensive.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-#[serde(try_from = "Packed", into = "Packed")]
+#[serde(try_from = "EncodedLoad", into = "EncodedLoad")]
 pub struct Work {
-    /// Memory reserved, in use, and expected to be.
+    /// Forecast of the memory reserved and in use.
     pub memory: Profile,
     /// Requests.
     pub count: u32,
-    /// Prompt tokens sent to be read, not read yet.
+    /// Prompt tokens sent for prefill and not processed yet.
     pub unread: u64,
-    /// Prompts sent to be read, not read yet.
+    /// Prompts sent for prefill and not processed yet.
     pub reads: u32,
 }
 
 #[serde_as]
 #[derive(Deserialize, Serialize)]
 #[serde(transparent)]
-struct Packed(#[serde_as(as = "serde_with::Bytes")] Vec<u8>);
+struct EncodedLoad(#[serde_as(as = "serde_with::Bytes")] Vec<u8>);
 
-impl From<Work> for Packed {
+impl From<Work> for EncodedLoad {
     fn from(w: Work) -> Self {
-        let mut out = Vec::with_capacity(PACKED_USUAL);
-        pack::number(&mut out, w.count.into());
-        pack::number(&mut out, w.unread);
-        pack::number(&mut out, w.reads.into());
-        w.memory.pack(&mut out);
-        Packed(out)
+        let mut out = Vec::with_capacity(ENCODED_USUAL);
+        varint::write_unsigned(&mut out, w.count.into());
+        varint::write_unsigned(&mut out, w.unread);
+        varint::write_unsigned(&mut out, w.reads.into());
+        w.memory.encode(&mut out);
+        EncodedLoad(out)
     }
 }
 
-impl TryFrom<Packed> for Work {
+impl TryFrom<EncodedLoad> for Work {
     type Error = &'static str;
 
-    fn try_from(Packed(bytes): Packed) -> Result<Self, Self::Error> {
-        Work::unpack(&mut &bytes[..]).ok_or("work cut short")
+    fn try_from(EncodedLoad(bytes): EncodedLoad) -> Result<Self, Self::Error> {
+        Work::decode(&mut &bytes[..]).ok_or("truncated engine load")
     }
 }
 
 impl Work {
-    fn unpack(bytes: &mut &[u8]) -> Option<Work> {
-        let count = pack::read_number(bytes)?.try_into().ok()?;
-        let unread = pack::read_number(bytes)?;
-        let reads = pack::read_number(bytes)?.try_into().ok()?;
-        Some(Work { memory: Profile::unpack(bytes)?, count, unread, reads })
+    fn decode(bytes: &mut &[u8]) -> Option<Work> {
+        let count = varint::read_unsigned(bytes)?.try_into().ok()?;
+        let unread = varint::read_unsigned(bytes)?;
+        let reads = varint::read_unsigned(bytes)?.try_into().ok()?;
+        Some(Work { memory: Profile::decode(bytes)?, count, unread, reads })
     }
 
-    /// The sum of both.
+    /// Returns the sum of both loads.
     pub fn plus(self, other: Work) -> Work {
         Work {
             memory: self.memory.plus(other.memory),
@@ -100,19 +104,19 @@
     }
 }
 
-/// Bytes that the work at an engine takes, usually.
-const PACKED_USUAL: usize = 24;
+/// Usual encoded size of the load at one engine, in bytes.
+const ENCODED_USUAL: usize = 24;
 
-/// One message between entries.
+/// Load report of one gateway.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Share {
     /// Name of the sender's VM.
     #[serde(rename = "n")]
     pub name: String,
-    /// Start time of the sender's process, in microseconds; a later life has a larger one.
+    /// Start time of the sender's process in microseconds; a later incarnation has a larger one.
     #[serde(rename = "l")]
     pub life: u64,
-    /// Grows with every message of this life.
+    /// Sequence number within this incarnation.
     #[serde(rename = "s")]
     pub seq: u64,
     /// Version of the sender's configuration.
@@ -124,175 +128,183 @@
     /// Revision up to which the sender knows the registered gateways.
     #[serde(rename = "g")]
     pub fleet: u64,
-    /// How the sender hears of the store.
+    /// How the sender learns of changes in the store.
     #[serde(rename = "k")]
     pub link: Link,
-    /// Requests waiting for a place at the sender.
+    /// Requests waiting for admission at the sender.
     #[serde(rename = "q")]
     pub waiting: u32,
-    /// Engines that the sender ordered to change their stage and that have not yet.
+    /// Engines that the sender ordered to change their stage and that have not done so yet.
     #[serde(rename = "o")]
     pub changing: Vec<ServerId>,
-    /// The sender's work, by the short number of the backend server.
+    /// Load of the sender, by short hash of the engine's id.
     #[serde(rename = "w")]
     pub work: BTreeMap<u32, Work>,
-    /// Sum over what the sender knows beside what the store says.
+    /// Checksum of the sender's gossip state.
     #[serde(rename = "t", default, skip_serializing_if = "is_zero")]
     pub notes: u64,
-    /// Numbers of gateways that the sender does not hear.
+    /// Hashes of the gateways that the sender can't reach.
     #[serde(rename = "m", default, skip_serializing_if = "BTreeSet::is_empty")]
     pub missing: Missing,
-    /// What a delegate heard of other availability zones.
+    /// Summaries of other availability zones that a zone leader relays.
     #[serde(rename = "d", default, skip_serializing_if = "Vec::is_empty")]
     pub digests: Vec<Digest>,
 }
 
-/// What gateways know beside what the store says.
+/// Gossip state: what gateways know besides the store and exchange with each other.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Notes {
-    /// Of contents under which servers end.
+    /// Observations of requests that crash backend servers.
     #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
     pub words: Vec<Word>,
-    /// Lives of servers whose answers say that they leave.
+    /// Incarnations of backend servers that announced that they are leaving.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
     pub leaving: Vec<ServerId>,
-    /// Limits that servers name.
+    /// Rate limits that backend servers announced.
     #[serde(rename = "r", default, skip_serializing_if = "Vec::is_empty")]
     pub limits: Vec<Named>,
 }
 
 impl Notes {
-    /// Is there nothing in it?
+    /// Is the gossip state empty?
     pub fn is_empty(&self) -> bool {
         self.words.is_empty() && self.leaving.is_empty() && self.limits.is_empty()
     }
 }
 
-/// Left out on the way: most of the time most gateways know nothing beside what the store says.
+/// Zero checksums are not sent: most gateways have no gossip state most of the time.
 pub(crate) fn is_zero(sum: &u64) -> bool {
     *sum == 0
 }
 
-/// A datagram between entries.
+/// A datagram between gateways.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum News {
-    /// To all gateways, at once.
+    /// Gossip state, sent to all gateways at once.
     Notes(Notes),
-    /// To those who share engines.
+    /// Load report, sent to the gateways that share engines.
     Share(Share),
-    /// To another availability zone.
+    /// Zone summary, sent to another availability zone.
     Digest(Digest),
-    /// To a bound's home.
+    /// Request for tokens, sent to the owner of a rate limit or quota.
     Ask(Ask),
-    /// Its answer.
+    /// Reply of the owner.
     Answer(Answer),
-    /// To a bound's home: so much of what it lent is not used.
+    /// Returns unused tokens to the owner.
     Unused(Key, u64),
-    /// Asks how old the configuration is there, under a number.
+    /// Queries the age of the configuration; carries the number of the query.
     Age(u64),
-    /// The answer: the number, the version in force, and milliseconds since it was known to be the newest.
+    /// Reply: the number of the query, the version in force, and the milliseconds since it was
+    /// known to be the newest.
     Held(u64, u64, u64),
 }
 
 #[derive(Clone, Debug)]
 struct Peer {
-    heard_at: Timestamp,
+    received_at: Timestamp,
     share: Share,
 }
 
-/// The latest share of each peer.
+/// The latest load report of each peer.
 #[derive(Clone, Debug, Default)]
 pub struct Shares {
     peers: HashMap<String, Peer>,
 }
 
 impl Shares {
-    /// A share arrived; false when it is older than what is known.
+    /// Stores a load report; false when it is older than the one known.
     pub fn hear(&mut self, now: Timestamp, share: Share) -> bool {
         if let Some(peer) = self.peers.get(&share.name)
             && (peer.share.life, peer.share.seq) >= (share.life, share.seq)
         {
             return false;
         }
-        self.peers.insert(share.name.clone(), Peer { heard_at: now, share });
+        self.peers.insert(share.name.clone(), Peer { received_at: now, share });
         true
     }
 
-    /// Work of all peers at one engine.
+    /// Returns the load of all peers at one engine.
     pub fn work(&self, now: Timestamp, id: &ServerId) -> Work {
-        let life = SHARE_LIFE.max(pause(self.peers.len()) * ROUNDS);
-        let number = id.short_number();
+        let timeout = LOAD_TIMEOUT.max(pause(self.peers.len()) * LOAD_ROUNDS);
+        let number = id.short_hash();
         self.peers
             .values()
-            .filter(|p| now.since(p.heard_at) < life)
+            .filter(|p| now.since(p.received_at) < timeout)
             .filter_map(|p| p.share.work.get(&number))
             .fold(Work::default(), |sum, w| sum.plus(*w))
     }
 
-    /// Peers heard lately.
+    /// Returns the number of live peers.
     pub fn live(&self, now: Timestamp) -> usize {
-        let life = PEER_LIFE.max(pause(self.peers.len()) * 2 * ROUNDS);
-        self.peers.values().filter(|p| now.since(p.heard_at) < life).count()
+        let timeout = PEER_TIMEOUT.max(pause(self.peers.len()) * 2 * LOAD_ROUNDS);
+        self.peers.values().filter(|p| now.since(p.received_at) < timeout).count()
     }
 
-    /// How the peer of this name hears of the store; none when it is silent.
+    /// Returns how a peer learns of changes in the store; `None` when it is silent.
     pub fn link(&self, now: Timestamp, name: &str) -> Option<Link> {
         let peer = self.peers.get(name)?;
-        (now.since(peer.heard_at) < SILENT).then_some(peer.share.link)
+        (now.since(peer.received_at) < SILENT).then_some(peer.share.link)
     }
 
-    /// Gateways that this one, called `own`, does not hear.
+    /// Returns the gateways from which this one, named `own`, receives nothing.
     pub fn missing(&self, now: Timestamp, fleet: &Fleet, own: &str) -> Missing {
         let others = fleet.all().keys().filter(|name| *name != own);
-        others.filter(|name| self.lately(now, name).is_none()).map(|n| gateway_number(n)).collect()
+        others
+            .filter(|name| self.recent_report(now, name).is_none())
+            .map(|n| gateway_number(n))
+            .collect()
     }
 
-    /// Whom a gateway misses by its own word; none when it was not heard lately.
+    /// Returns the gateways that another gateway reports as unreachable; `None` when it is silent.
     pub fn missed_by(&self, now: Timestamp, name: &str) -> Option<&Missing> {
-        self.lately(now, name).map(|share| &share.missing)
+        self.recent_report(now, name).map(|share| &share.missing)
     }
 
-    fn lately(&self, now: Timestamp, name: &str) -> Option<&Share> {
+    fn recent_report(&self, now: Timestamp, name: &str) -> Option<&Share> {
         let peer = self.peers.get(name)?;
-        (now.since(peer.heard_at) < SILENT).then_some(&peer.share)
+        (now.since(peer.received_at) < SILENT).then_some(&peer.share)
     }
 
-    /// The best way in which any peer that was heard lately follows the store.
+    /// Returns the best connection to the store that any peer reports.
     pub fn best_link(&self, now: Timestamp) -> Link {
         let rank = |link: &Link| match link {
             Link::Heard { settles, .. } => (0, *settles),
             Link::Away => (1, 0),
             Link::Indirect => (2, 0),
         };
-        let heard = self.peers.values().filter(|p| now.since(p.heard_at) < SILENT);
-        heard.map(|p| p.share.link).min_by_key(rank).unwrap_or_default()
+        let recent = self.peers.values().filter(|p| now.since(p.received_at) < SILENT);
+        recent.map(|p| p.share.link).min_by_key(rank).unwrap_or_default()
     }
 
-    /// As of when a list of backend servers of this revision is known to hold: peers that follow the store
-    /// and know nothing newer say so. None when no such peer was heard lately.
+    /// Returns the time as of which a list of backend servers of this revision is known to be
+    /// complete, by the reports of peers that follow the store and know nothing newer; `None` when
+    /// there is no such report.
     pub fn known_at(&self, now: Timestamp, roster: u64) -> Option<Timestamp> {
-        let heard = self.peers.values().filter(|p| now.since(p.heard_at) < SILENT);
-        let knows_no_more = heard.filter(|p| p.share.roster <= roster);
-        let at = knows_no_more.filter_map(|p| match p.share.link {
-            Link::Heard { age, .. } => Some(p.heard_at.before(Duration::from_millis(age.into()))),
+        let recent = self.peers.values().filter(|p| now.since(p.received_at) < SILENT);
+        let not_newer = recent.filter(|p| p.share.roster <= roster);
+        let at = not_newer.filter_map(|p| match p.share.link {
+            Link::Heard { age, .. } => {
+                Some(p.received_at.before(Duration::from_millis(age.into())))
+            }
             Link::Away | Link::Indirect => None,
         });
         at.max()
     }
 
-    /// Forgets peers that fell silent long ago.
+    /// Drops peers that have been silent for long.
     pub fn expire(&mut self, now: Timestamp) {
-        self.peers.retain(|_, p| now.since(p.heard_at) < PEER_LIFE * 10);
+        self.peers.retain(|_, p| now.since(p.received_at) < PEER_TIMEOUT * 10);
     }
 }
 
-/// Engines compared by one choice, times the number of entries: with many entries that all hear the
-/// same late news, the one shortest queue would be everybody's choice.
-pub const COMPARED: usize = 4;
-/// Fewest engines compared: the better of two random ones spreads late news well.
+/// Engines compared per decision, times the number of gateways. If many gateways with the same
+/// delayed reports compared all engines, they would all choose the one with the shortest queue.
+pub const COMPARISONS: usize = 4;
+/// Fewest engines compared: the better of two random choices spreads load well even with delayed
+/// reports.
 pub const COMPARED_MIN: usize = 2;
 
-/// How many of `engines` one of `entries` compares.
-pub fn compared(engines: usize, entries: usize) -> usize {
-    (engines * COMPARED).div_ceil(entries.max(1)).clamp(COMPARED_MIN, engines.max(COMPARED_MIN))
+/// Returns how many of `engines` one of `entries` gateways compares.
+pub fn sample_size(engines: usize, entries: usize) -> usize {
+    (engines * COMPARISONS).div_ceil(entries.max(1)).clamp(COMPARED_MIN, engines.max(COMPARED_MIN))
 }
--- a/crates/router/src/stages.rs
+++ b/crates/router/src/stages.rs
@@ -1,7 +1,7 @@
-//! How many engines of a service read prompts, and which change.
+//! Plans how many engines of a service are prefill engines, and which engine changes its stage.
 //!
-//! Answers the load of bursts to twice the usual rate, in which either the reading or the memory
-//! for answers runs out first. The shares are set so that both carry the same rate of requests.
+//! In bursts of twice the usual rate either prefill or the memory for answers runs out first. The
+//! engines are divided so that both sustain the same rate of requests.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,183 +11,190 @@
 use crate::catalog::{Engine, Server, ServerId, Stage};
 use crate::forecast::Profile;
 
-/// Part of an engine's reading speed that is planned with; the rest absorbs arrivals that clump.
-pub const READ_PART: f64 = 0.85;
-/// Weight of a new observation of a request's shape: about the last hundred count.
-pub const NEW_WEIGHT: f64 = 0.02;
-/// Requests that the first guess of a shape counts for.
-pub const FIRST_WEIGHT: f64 = 4.0;
-/// Requests from which on a shape is known: some four seconds of one gateway.
-const KNOWN: f64 = 8.0;
-/// Weight of a new observation of a token's time: events come twenty a second.
+/// Fraction of an engine's prefill speed to plan with; the rest absorbs bursts of arrivals.
+pub const PLANNED_FRACTION: f64 = 0.85;
+/// Weight of a new observation of the request shape: about the last hundred count.
+pub const SHAPE_WEIGHT: f64 = 0.02;
+/// Number of requests that the initial guess of the shape counts for.
+pub const INITIAL_WEIGHT: f64 = 4.0;
+/// Requests from which on the shape counts as known: some four seconds of one gateway.
+const KNOWN_REQUESTS: f64 = 8.0;
+/// Weight of a new observation of the time per token; there are twenty events a second.
 const TOKEN_WEIGHT: f64 = 0.02;
-/// How long another number of readers must have been wanted once requests were seen: what is learned
-/// moves by a tenth within seconds, and a change that is taken back costs an engine for twelve.
-pub const WANTED_FOR: Duration = Duration::from_secs(3);
-/// Shortest time between two orders to one engine beyond its switch, so that a change shows before
-/// it is judged.
-pub const SETTLE: Duration = Duration::from_secs(4);
-
-/// The mean shape of a service's requests, learned from those that come: answers that end first are the
-/// short ones, and say so seconds later.
+/// How long a change must be wanted once requests were seen. The learned values move by a tenth
+/// within seconds, and a change that is reverted costs an engine for twelve seconds.
+pub const CHANGE_DELAY: Duration = Duration::from_secs(3);
+/// Shortest time between two orders to one engine, beyond the time of its change, so that a change
+/// is visible before the next decision.
+pub const ORDER_SETTLE: Duration = Duration::from_secs(4);
+
+/// Average shape of a service's requests. It is learned when requests arrive, because short answers
+/// end first and would bias it for seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Shape {
     /// Prompt tokens.
     prompt: f64,
-    /// Tokens of memory at the end of an answer beyond the prompt.
-    growth: f64,
-    /// Seconds of one token of an answer.
-    token: f64,
-    /// Requests seen.
-    seen: f64,
+    /// Output tokens.
+    output: f64,
+    /// Seconds per output token.
+    token_seconds: f64,
+    /// Requests observed.
+    count: f64,
 }
 
 impl Default for Shape {
-    /// One customer's kinds of request, until requests were seen.
+    /// Initial guess: the requests of one customer.
     fn default() -> Self {
-        Shape { prompt: 3_200.0, growth: 860.0, token: 0.004_6, seen: 0.0 }
+        Shape { prompt: 3_200.0, output: 860.0, token_seconds: 0.004_6, count: 0.0 }
     }
 }
 
 impl Shape {
-    /// A request came whose answer is expected to be so long.
-    pub fn observe(&mut self, prompt: f64, growth: f64) {
-        let weight = NEW_WEIGHT.max(1.0 / (FIRST_WEIGHT + self.seen));
-        self.seen += 1.0;
+    /// Records a request that arrived, with the expected length of its answer.
+    pub fn observe(&mut self, prompt: f64, output: f64) {
+        let weight = SHAPE_WEIGHT.max(1.0 / (INITIAL_WEIGHT + self.count));
+        self.count += 1.0;
         self.prompt += weight * (prompt - self.prompt);
-        self.growth += weight * (growth - self.growth);
+        self.output += weight * (output - self.output);
     }
 
-    /// A token of an answer took so many seconds.
+    /// Records the time that one output token took, in seconds.
     pub fn observe_token(&mut self, seconds: f64) {
-        self.token += TOKEN_WEIGHT * (seconds - self.token);
+        self.token_seconds += TOKEN_WEIGHT * (seconds - self.token_seconds);
     }
 
-    /// Tokens of the usual prompt.
+    /// Returns the average prompt length in tokens.
     pub fn prompt(&self) -> u64 {
         self.prompt as u64
     }
 
-    /// Memory of the usual answer at its end.
+    /// Returns the memory that the average answer takes at its end.
     pub fn memory(&self) -> Profile {
-        Profile::flat((self.prompt + self.growth) as u64)
+        Profile::constant((self.prompt + self.output) as u64)
     }
 
-    /// Time of one token of an answer.
+    /// Returns the time per output token.
     pub fn token(&self) -> Duration {
-        Duration::from_secs_f64(self.token)
+        Duration::from_secs_f64(self.token_seconds)
     }
 
-    /// Have enough requests come to go by them?
+    /// Were enough requests observed to use the shape?
     pub fn is_known(&self) -> bool {
-        self.seen >= KNOWN
+        self.count >= KNOWN_REQUESTS
     }
 
-    /// Requests a second that one engine's memory and slots carry; `read` is the time of a prompt.
+    /// Returns the requests a second that the memory and slots of one decode engine sustain; `read`
+    /// is the prefill time of a prompt in seconds.
     pub fn decode_rate(&self, engine: &Engine, read: f64) -> f64 {
-        let mean = self.prompt + self.growth / 2.0;
-        let places = (engine.tokens as f64 / mean.max(1.0)).min(f64::from(engine.slots));
-        places / (self.growth * self.token + read).max(0.1)
+        let mean = self.prompt + self.output / 2.0;
+        let capacity = (engine.tokens as f64 / mean.max(1.0)).min(f64::from(engine.slots));
+        capacity / (self.output * self.token_seconds + read).max(0.1)
     }
 
-    /// Requests a second that one engine reads, of so many tokens a second.
+    /// Returns the requests a second that one prefill engine sustains at `rate` prompt tokens a
+    /// second.
     pub fn prefill_rate(&self, rate: f64) -> f64 {
-        rate * READ_PART / self.prompt.max(1.0)
+        rate * PLANNED_FRACTION / self.prompt.max(1.0)
     }
 }
 
-/// How many of `total` engines should read prompts, as a fraction; `rate` is the prompt tokens that one
-/// reads in a second.
-pub fn readers(total: usize, engine: &Engine, shape: &Shape, rate: f64) -> f64 {
-    let read = shape.prefill_rate(rate);
-    let write = shape.decode_rate(engine, 1.0 / read.max(1e-3));
+/// Returns how many of `total` engines should be prefill engines, as a fraction; `rate` is the
+/// prompt tokens that one processes in a second.
+pub fn wanted_prefill_engines(total: usize, engine: &Engine, shape: &Shape, rate: f64) -> f64 {
+    let prefill = shape.prefill_rate(rate);
+    let decode = shape.decode_rate(engine, 1.0 / prefill.max(1e-3));
     let most = total.saturating_sub(1) as f64;
-    (write / (read + write) * total as f64).clamp(most.min(1.0), most)
+    (decode / (prefill + decode) * total as f64).clamp(most.min(1.0), most)
 }
 
-/// How far the readers may be from what is wanted before any answer was seen: to the nearest number.
-pub const SLACK_FIRST: f64 = 0.5;
-/// The same later: an engine that changes is absent for six seconds, so only a whole engine too
-/// many or too few is worth it. At 0.6 what the first answers said had a site change one in vain.
-pub const SLACK_LATER: f64 = 0.95;
+/// Tolerated difference from the wanted number of prefill engines before any request was seen:
+/// rounds to the nearest number.
+pub const TOLERANCE_INITIAL: f64 = 0.5;
+/// The same afterwards. An engine that changes is absent for six seconds, so only a whole engine
+/// too many or too few is worth it; with 0.6, one site changed an engine in vain after the first
+/// answers.
+pub const TOLERANCE: f64 = 0.95;
 
-/// What a plan is made of.
+/// Inputs for planning the stages of a service.
 #[derive(Clone, Copy, Debug)]
 pub struct View<'a> {
     /// Name of the service.
     pub service: &'a str,
-    /// Its engines that may be sent work, by who places at them: all, or those of each zone.
+    /// Its usable engines, in one group per set of gateways that share them: all engines, or those
+    /// of each zone.
     pub groups: &'a [Vec<&'a Server>],
-    /// What is known of them.
+    /// Parameters of its engines.
     pub engine: &'a Engine,
-    /// The shape of its requests; none until enough were seen.
+    /// Shape of its requests; `None` until enough were observed.
     pub shape: Option<Shape>,
-    /// Prompt tokens that one engine reads in a second.
+    /// Prompt tokens that one engine processes in a second.
     pub rate: f64,
 }
 
-/// Orders that were given and may not show yet.
+/// Plans stage changes and tracks orders that have not taken effect yet.
 #[derive(Clone, Debug, Default)]
 pub struct Planner {
-    given: HashMap<ServerId, (Stage, Timestamp)>,
-    /// The change that is wanted, and since when, by service.
+    orders: HashMap<ServerId, (Stage, Timestamp)>,
+    /// The wanted change of each service, and since when it has been wanted.
     wanted: HashMap<String, (Stage, Timestamp)>,
 }
 
 impl Planner {
-    /// The next engine of a service to change and its new stage; one at a time.
+    /// Returns the next engine of a service to change and its new stage; at most one.
     pub fn next(&mut self, now: Timestamp, view: &View<'_>) -> Option<(ServerId, Stage)> {
-        self.forget_done(now, view.groups);
+        self.drop_finished(now, view.groups);
         let change = self.change(view);
-        if !self.lasts(now, view, change.map(|(_, stage)| stage)) {
+        if !self.is_due(now, view, change.map(|(_, stage)| stage)) {
             return None;
         }
         let (group, stage) = change?;
         let servers = &view.groups[group];
-        let free = servers.iter().filter(|s| !self.given.contains_key(&s.id));
+        let available = servers.iter().filter(|s| !self.orders.contains_key(&s.id));
         let pick = match stage {
-            // The availability zone with the most readers gives one up.
-            Stage::Decode => free
+            // The engine comes from the availability zone with the most prefill engines.
+            Stage::Decode => available
                 .filter(|s| s.stage == Some(Stage::Prefill))
-                .max_by_key(|s| (self.readers(servers, Some(&s.zone)), s.id.clone())),
+                .max_by_key(|s| (self.prefill_count(servers, Some(&s.zone)), s.id.clone())),
             Stage::Prefill => {
-                free.filter(|s| s.stage == Some(Stage::Decode)).min_by_key(|s| s.id.clone())
+                available.filter(|s| s.stage == Some(Stage::Decode)).min_by_key(|s| s.id.clone())
             }
         };
         pick.map(|s| (s.id.clone(), stage))
     }
 
-    /// Engines that read or will soon, of one availability zone or all.
-    fn readers(&self, servers: &[&Server], zone: Option<&str>) -> usize {
-        let stage = |s: &Server| self.given.get(&s.id).map_or(s.stage, |(g, _)| Some(*g));
-        let here = |s: &Server| zone.is_none_or(|z| s.zone == z);
-        servers.iter().filter(|s| here(s) && stage(s) == Some(Stage::Prefill)).count()
+    /// Counts the engines that are or will soon be prefill engines, in one availability zone or in
+    /// all.
+    fn prefill_count(&self, servers: &[&Server], zone: Option<&str>) -> usize {
+        let stage = |s: &Server| self.orders.get(&s.id).map_or(s.stage, |(g, _)| Some(*g));
+        let in_zone = |s: &Server| zone.is_none_or(|z| s.zone == z);
+        servers.iter().filter(|s| in_zone(s) && stage(s) == Some(Stage::Prefill)).count()
     }
 
-    /// The group that should change, and the stage that one of its engines should have: the one that is
-    /// farthest from what is wanted, if it is too far by itself, or if all together are and it is nearer
-    /// after a change. Six zones of six engines that each kept one reader too many, by a little less than a
-    /// whole one, wrote with 24 engines where 30 were wanted.
+    /// Returns the group in which an engine should change, and its new stage. This is the group
+    /// farthest from the wanted number, if it is too far by itself, or if all groups together are
+    /// and the change brings it nearer. Without the second rule, six zones of six engines that each
+    /// kept a little less than one prefill engine too many had 24 decode engines where 30 were
+    /// wanted.
     fn change(&self, view: &View<'_>) -> Option<(usize, Stage)> {
         let shape = view.shape.unwrap_or_default();
-        let slack = if view.shape.is_some() { SLACK_LATER } else { SLACK_FIRST };
+        let tolerance = if view.shape.is_some() { TOLERANCE } else { TOLERANCE_INITIAL };
         let gap = |servers: &Vec<&Server>| {
-            let wanted = readers(servers.len(), view.engine, &shape, view.rate);
-            wanted - self.readers(servers, None) as f64
+            let wanted = wanted_prefill_engines(servers.len(), view.engine, &shape, view.rate);
+            wanted - self.prefill_count(servers, None) as f64
         };
         let gaps: Vec<f64> = view.groups.iter().map(gap).collect();
         let total: f64 = gaps.iter().sum();
         [(1.0, Stage::Prefill), (-1.0, Stage::Decode)].into_iter().find_map(|(sign, stage)| {
             let farthest = gaps.iter().map(|gap| gap * sign).enumerate();
             let (group, gap) = farthest.max_by(|a, b| a.1.total_cmp(&b.1))?;
-            let far = gap > slack || total * sign > slack && gap > SLACK_FIRST;
-            far.then_some((group, stage))
+            let too_far = gap > tolerance || total * sign > tolerance && gap > TOLERANCE_INITIAL;
+            too_far.then_some((group, stage))
         })
     }
 
-    /// Has this change been wanted for long enough? Before answers were seen nothing moves what is
-    /// wanted, and callers have not come yet: it is made at once.
-    fn lasts(&mut self, now: Timestamp, view: &View<'_>, change: Option<Stage>) -> bool {
+    /// Has this change been wanted for long enough? Before requests were seen the plan is stable
+    /// and there is no load yet, so the change is made at once.
+    fn is_due(&mut self, now: Timestamp, view: &View<'_>, change: Option<Stage>) -> bool {
         let Some(stage) = change else {
             self.wanted.remove(view.service);
             return false;
@@ -197,29 +204,29 @@
             _ => now,
         };
         self.wanted.insert(view.service.to_owned(), (stage, since));
-        view.shape.is_none() || now.since(since) >= WANTED_FOR
+        view.shape.is_none() || now.since(since) >= CHANGE_DELAY
     }
 
-    /// Engines whose orders do not show yet.
+    /// Returns the engines whose orders have not taken effect yet.
     pub fn changing(&self) -> Vec<ServerId> {
-        self.given.keys().cloned().collect()
+        self.orders.keys().cloned().collect()
     }
 
-    /// Forgets orders that show, and those that did not in time.
-    fn forget_done(&mut self, now: Timestamp, groups: &[Vec<&Server>]) {
-        let shows = |id: &ServerId, stage: Stage| {
+    /// Drops orders that have taken effect or have timed out.
+    fn drop_finished(&mut self, now: Timestamp, groups: &[Vec<&Server>]) {
+        let in_effect = |id: &ServerId, stage: Stage| {
             groups.iter().flatten().any(|s| s.id == *id && s.stage == Some(stage))
         };
-        self.given.retain(|id, (stage, until)| *until > now && !shows(id, *stage));
+        self.orders.retain(|id, (stage, until)| *until > now && !in_effect(id, *stage));
     }
 
-    /// An order was sent; it may show late.
+    /// Records that an order was sent.
     pub fn given(&mut self, now: Timestamp, id: &ServerId, stage: Stage, engine: &Engine) {
-        self.given.insert(id.clone(), (stage, now.after(engine.switch).after(SETTLE)));
+        self.orders.insert(id.clone(), (stage, now.after(engine.switch).after(ORDER_SETTLE)));
     }
 
-    /// An order was not taken; the engine may be asked again after a while.
+    /// Records that an engine refused an order, so that it may be ordered again.
     pub fn refused(&mut self, id: &ServerId) {
-        self.given.remove(id);
+        self.orders.remove(id);
     }
 }
--- a/crates/router/src/zones.rs
+++ b/crates/router/src/zones.rs
@@ -1,12 +1,11 @@
-//! What availability zones know of each other, and where a request goes that its own can't serve.
+//! Exchange between availability zones, and overflow of requests that their own zone can't serve.
 //!
-//! Answers the load of fleets in which everybody telling everybody what work it has costs more than it
-//! gains: the bytes between availability zones grow with the square of the fleet. From a size on, each
-//! zone decides for itself: its gateways tell each other everything, and place, read and write there.
-//! Zones tell each other only how much room they have, a few numbers by delegates several times a second.
-//! A request that its own zone can't serve in time is placed by a gateway of another one, which knows
-//! what its engines have: who placed there by a sum half a second old would fill engines beyond what
-//! their answers grow to.
+//! When every gateway reports its load to every other, the traffic between zones grows with the
+//! square of the fleet. From a certain size on, the gateways of a zone therefore share full load
+//! reports and engines only with each other, and zone leaders exchange short summaries of free
+//! capacity several times a second. A request that its own zone can't serve in time is admitted by
+//! a gateway of another zone, which knows the load of its engines. Admission by a summary half a
+//! second old would fill engines beyond what their answers grow to.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -15,89 +14,91 @@
 use ebonyloft_core::time::Timestamp;
 use serde::{Deserialize, Serialize};
 
-use crate::engines::TIGHT;
+use crate::engines::FREE_TIGHT;
 use crate::fleet::Fleet;
 use crate::share::is_zero;
 
-/// Gateways from which on zones decide for themselves, however small they are: what all tell all costs more
-/// than what is gained by sharing all engines.
-pub const ZONE_FLEET: usize = 40;
-/// Gateways below which all share all: they tell each other next to nothing.
-pub const FEW: usize = 16;
-/// Tokens that the engines of a zone hold together from which on it needs no others: with less, what comes
-/// to one zone at once fills it while others have room.
-pub const ZONE_TOKENS: u64 = 350_000;
-/// For how long engines count that are gone: many that restart at once must not change who shares with whom.
-const MEMORY_LIFE: Duration = Duration::from_secs(60);
-/// Pause between two digests to other zones: what they say is only used to choose whom to ask.
+/// Number of gateways from which on zones decide separately, however small they are: reports among
+/// all gateways then cost more than sharing all engines gains.
+pub const ZONE_SCOPE_GATEWAYS: usize = 40;
+/// Number of gateways below which all share all engines, since reports among them cost next to
+/// nothing.
+pub const ALL_SCOPE_GATEWAYS: usize = 16;
+/// Memory in tokens from which on the engines of a zone suffice by themselves. With less, a burst
+/// in one zone fills it while others have room.
+pub const ZONE_SCOPE_TOKENS: u64 = 350_000;
+/// How long engines that are gone still count: a restart of many engines must not change the scope.
+const PEAK_WINDOW: Duration = Duration::from_secs(60);
+/// Interval between two summaries to other zones; they only serve to choose a zone to ask.
 pub const DIGEST_PAUSE: Duration = Duration::from_millis(250);
-/// How long a digest counts: four more may be lost.
-pub const DIGEST_LIFE: Duration = Duration::from_millis(1_300);
-/// How long a zone that granted no place is not asked again, until the next two digests say what it has:
-/// in a burst nine of ten questions were asked in vain.
-pub const FULL_REST: Duration = Duration::from_millis(400);
-/// Free part of a zone's memory, in thousandths, below which it keeps it for its own callers.
-const SPILL_FREE: u32 = (TIGHT * 1_000.0) as u32;
-
-/// Who shares all news, and each other's engines.
+/// How long a summary is valid: four more may be lost.
+pub const SUMMARY_LIFETIME: Duration = Duration::from_millis(1_300);
+/// Back-off after a zone granted no reservation, until its next two summaries show what it has.
+/// Without it, nine of ten requests in a burst were made in vain.
+pub const FULL_BACKOFF: Duration = Duration::from_millis(400);
+/// Free fraction of a zone's memory, in thousandths, below which the zone keeps it for its own
+/// callers.
+const OVERFLOW_FREE_MIN: u32 = (FREE_TIGHT * 1_000.0) as u32;
+
+/// Which gateways exchange load reports and share engines.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Scope {
     /// All gateways.
     All,
-    /// Those of one availability zone.
+    /// The gateways of one availability zone.
     Zone,
 }
 
-/// The scope of a fleet whose engines hold so many tokens; the same for all its gateways.
+/// Returns the scope of a fleet whose engines hold this many tokens; all gateways compute the same.
 pub fn scope(fleet: &Fleet, tokens: u64) -> Scope {
     let gateways = fleet.all().len();
     let zones: BTreeSet<&str> = fleet.all().values().map(|g| g.zone.as_str()).collect();
-    let large = tokens >= ZONE_TOKENS * zones.len().max(1) as u64;
-    match gateways >= ZONE_FLEET || gateways >= FEW && large {
+    let large = tokens >= ZONE_SCOPE_TOKENS * zones.len().max(1) as u64;
+    match gateways >= ZONE_SCOPE_GATEWAYS || gateways >= ALL_SCOPE_GATEWAYS && large {
         true => Scope::Zone,
         false => Scope::All,
     }
 }
 
-/// The most memory that a fleet's engines had lately, in tokens.
+/// Highest total memory of a fleet's engines within the last minute, in tokens.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Memory {
-    most: u64,
+    peak: u64,
     seen_at: Timestamp,
 }
 
 impl Memory {
-    /// Engines that are registered hold so many tokens together.
+    /// Records the total memory of the engines that are registered now.
     pub fn observe(&mut self, now: Timestamp, tokens: u64) {
-        if tokens >= self.most || now.since(self.seen_at) > MEMORY_LIFE {
-            *self = Memory { most: tokens, seen_at: now };
+        if tokens >= self.peak || now.since(self.seen_at) > PEAK_WINDOW {
+            *self = Memory { peak: tokens, seen_at: now };
         }
     }
 
-    /// The most of the last minute.
+    /// Returns the highest total of the last minute.
     pub fn tokens(&self) -> u64 {
-        self.most
+        self.peak
     }
 }
 
-/// What a zone has left of one service's engines.
+/// Free capacity of a zone for one service.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Room {
     /// Name of the service.
     #[serde(rename = "s")]
     pub service: String,
-    /// Part of the memory in which answers may still be placed, in thousandths.
+    /// Fraction of the memory in which answers may still be admitted, in thousandths.
     #[serde(rename = "f")]
     pub free: u32,
-    /// Usual requests that find a place now; memory that is left in pieces is no place.
+    /// Average requests that can be admitted now; memory fragments that are too small don't count.
     #[serde(rename = "p")]
     pub places: u32,
-    /// Milliseconds until a usual prompt would be read.
+    /// Milliseconds until an average prompt would be processed.
     #[serde(rename = "r")]
     pub read: u32,
 }
 
-/// What a delegate tells other zones of its own.
+/// Zone summary that a zone leader sends to other zones.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Digest {
     /// Name of the sender's VM.
@@ -106,63 +107,66 @@
     /// Its availability zone.
     #[serde(rename = "z")]
     pub zone: String,
-    /// Where it is reached.
+    /// Address at which the sender is reached.
     #[serde(rename = "a")]
     pub addr: SocketAddr,
     /// Start time of its process, in microseconds.
     #[serde(rename = "l")]
     pub life: u64,
-    /// Grows with every digest of this life.
+    /// Sequence number within this incarnation.
     #[serde(rename = "q")]
     pub seq: u64,
     /// Version of its configuration.
     #[serde(rename = "c")]
     pub config: u64,
-    /// Revision up to which it knows the backend servers.
+    /// Revision up to which the sender knows the backend servers.
     #[serde(rename = "b")]
     pub roster: u64,
-    /// Revision up to which it knows the gateways.
+    /// Revision up to which the sender knows the gateways.
     #[serde(rename = "g")]
     pub fleet: u64,
-    /// Sum over what it knows beside what the store says.
+    /// Checksum of the sender's gossip state.
     #[serde(rename = "t", default, skip_serializing_if = "is_zero")]
     pub notes: u64,
-    /// Its zone's engines, by service.
+    /// Free capacity of its zone, by service.
     #[serde(rename = "e")]
     pub rooms: Vec<Room>,
 }
 
-/// The latest digests of other zones.
+/// The latest summaries of other zones.
 #[derive(Clone, Debug, Default)]
 pub struct Digests {
-    heard: HashMap<String, (Timestamp, Digest)>,
-    /// Zones that granted no place, and until when they are not asked again.
-    full: HashMap<String, Timestamp>,
+    summaries: HashMap<String, (Timestamp, Digest)>,
+    /// Zones that granted no reservation, and until when they are not asked again.
+    backoffs: HashMap<String, Timestamp>,
 }
 
 impl Digests {
-    /// A digest arrived, from its sender or by another gateway; false when it is not news.
+    /// Stores a summary, received from its sender or relayed; false when it is not newer than the
+    /// one known.
     pub fn hear(&mut self, now: Timestamp, digest: Digest) -> bool {
-        if let Some((_, before)) = self.heard.get(&digest.name)
+        if let Some((_, before)) = self.summaries.get(&digest.name)
             && (before.life, before.seq) >= (digest.life, digest.seq)
         {
             return false;
         }
-        self.heard.insert(digest.name.clone(), (now, digest));
+        self.summaries.insert(digest.name.clone(), (now, digest));
         true
     }
 
-    /// Those that still count.
+    /// Returns the summaries that are still valid.
     pub fn live(&self, now: Timestamp) -> impl Iterator<Item = &Digest> {
-        let counts = move |at: &Timestamp| now.since(*at) < DIGEST_LIFE;
-        self.heard.values().filter(move |(at, _)| counts(at)).map(|(_, digest)| digest)
+        let counts = move |at: &Timestamp| now.since(*at) < SUMMARY_LIFETIME;
+        self.summaries.values().filter(move |(at, _)| counts(at)).map(|(_, digest)| digest)
     }
 
-    /// The latest of each zone, by zone: what a delegate passes on. Whoever speaks for a zone says much the same,
-    /// and in a fleet that starts all do.
+    /// Returns the latest summary of each zone, by zone, which a zone leader relays. The leaders of
+    /// a zone report much the same, and in a fleet that starts all gateways are leaders.
     pub fn passed_on(&self, now: Timestamp) -> impl Iterator<Item = &Digest> {
         let mut latest: BTreeMap<&str, (Timestamp, &Digest)> = BTreeMap::new();
-        for (at, digest) in self.heard.values().filter(|(at, _)| now.since(*at) < DIGEST_LIFE) {
+        for (at, digest) in
+            self.summaries.values().filter(|(at, _)| now.since(*at) < SUMMARY_LIFETIME)
+        {
             let known = latest.entry(&digest.zone).or_insert((*at, digest));
             if (known.0, &known.1.name) < (*at, &digest.name) {
                 *known = (*at, digest);
@@ -171,20 +175,21 @@
         latest.into_values().map(|(_, digest)| digest)
     }
 
-    /// A zone granted no place: its digest promised more than it has.
+    /// Records that a zone granted no reservation although its summary showed capacity.
     pub fn full(&mut self, now: Timestamp, zone: &str) {
-        self.full.insert(zone.to_owned(), now.after(FULL_REST));
+        self.backoffs.insert(zone.to_owned(), now.after(FULL_BACKOFF));
     }
 
-    /// Forgets those that don't count any more.
+    /// Drops what is no longer valid.
     pub fn expire(&mut self, now: Timestamp) {
-        self.heard.retain(|_, (at, _)| now.since(*at) < DIGEST_LIFE);
-        self.full.retain(|_, until| *until > now);
+        self.summaries.retain(|_, (at, _)| now.since(*at) < SUMMARY_LIFETIME);
+        self.backoffs.retain(|_, until| *until > now);
     }
 
-    /// The zone to ask for a place at a service whose prompt must be read within `within`, and the
-    /// gateway there; `tried` zones are left out, `draw` is uniform in 0..1. Zones are drawn by their
-    /// places: the one with the most would be everybody's choice for as long as its digest counts.
+    /// Picks the zone to ask for a reservation for a request whose prompt must be processed within
+    /// `within`, and the gateway there. Zones in `tried` are left out; `draw` is uniform in 0..1.
+    /// Zones are drawn in proportion to their capacity: otherwise every gateway would choose the
+    /// one with the most for as long as its summary is valid.
     pub fn spill(
         &self,
         now: Timestamp,
@@ -195,13 +200,13 @@
     ) -> Option<&Digest> {
         let weigh = |digest: &Digest| {
             let room = digest.rooms.iter().find(|r| r.service == service)?;
-            let fits = room.free > SPILL_FREE && u128::from(room.read) <= within.as_millis();
+            let fits = room.free > OVERFLOW_FREE_MIN && u128::from(room.read) <= within.as_millis();
             (fits && room.places > 0).then(|| f64::from(room.places))
         };
         let mut fit: Vec<(f64, &Digest)> = self
             .live(now)
             .filter(|d| !tried.contains(&d.zone))
-            .filter(|d| self.full.get(&d.zone).is_none_or(|until| *until <= now))
+            .filter(|d| self.backoffs.get(&d.zone).is_none_or(|until| *until <= now))
             .filter_map(|d| Some((weigh(d)?, d)))
             .collect();
         fit.sort_by(|a, b| a.1.name.cmp(&b.1.name));
--- a/crates/router/tests/delegate.rs
+++ b/crates/router/tests/delegate.rs
@@ -1,11 +1,13 @@
-//! Who follows the store for its availability zone.
+//! Choice of the zone leaders, which follow the store for their availability zone.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use ebonyloft_core::time::Timestamp;
-use ebonyloft_router::delegate::{KEEP, Link, PER_ZONE, Role, SILENT, STEP, STEPS_MAX};
-use ebonyloft_router::fleet::{Fleet, Gateway, LAPSE};
+use ebonyloft_router::delegate::{
+    LEADERS_PER_ZONE, Link, Role, SILENT, STEP_DOWN_DELAY, TAKEOVER_STEP, TAKEOVER_STEPS_MAX,
+};
+use ebonyloft_router::fleet::{Fleet, Gateway, LAPSE_GRACE};
 use ebonyloft_router::freshness::Freshness;
 use ebonyloft_router::share::{Share, Shares};
 
@@ -18,7 +20,7 @@
     (format!("front-{zone}-{n}"), Gateway { addr, zone: zone.into(), power })
 }
 
-/// Six gateways in each of two zones; the last two of each are strong.
+/// Six gateways in each of two zones; the last two of each have the most CPU.
 fn fleet() -> Fleet {
     let power = |n| if n >= 4 { 500 } else { 90 };
     let of = |zone| (0..6).map(move |n| gateway(n, zone, power(n)));
@@ -28,34 +30,34 @@
 }
 
 fn ahead(fleet: &Fleet, name: &str) -> Vec<String> {
-    fleet.ahead(name).expect("it is registered").map(str::to_owned).collect()
+    fleet.ahead(name).expect("a registered gateway").map(str::to_owned).collect()
 }
 
-/// Delegates that each gateway of a zone hears, by what the others say of the store.
-fn follow(fleet: &Fleet, said: &BTreeMap<&str, Link>, name: &str) -> usize {
-    let heard = |n: &&str| matches!(said.get(n), Some(Link::Heard { .. }));
+/// Counts the higher-ranked gateways that reach the store, by what the gateways report.
+fn connected_leaders(fleet: &Fleet, reports: &BTreeMap<&str, Link>, name: &str) -> usize {
+    let heard = |n: &&str| matches!(reports.get(n), Some(Link::Heard { .. }));
     fleet.ahead(name).map_or(0, |names| names.filter(heard).count())
 }
 
 #[test]
-fn the_strongest_of_a_zone_go_first() {
+fn gateways_with_the_most_cpu_rank_first() {
     let fleet = fleet();
     assert!(ahead(&fleet, "front-a-4").is_empty());
     assert_eq!(ahead(&fleet, "front-a-5"), ["front-a-4"]);
     assert_eq!(ahead(&fleet, "front-a-0"), ["front-a-4", "front-a-5"]);
     assert_eq!(ahead(&fleet, "front-b-3").len(), 5);
-    assert_eq!(fleet.delegates().count(), 2 * PER_ZONE);
+    assert_eq!(fleet.delegates().count(), 2 * LEADERS_PER_ZONE);
     assert!(fleet.delegates().all(|g| g.power == 500));
 }
 
 #[test]
-fn one_that_is_not_registered_follows_the_store() {
+fn an_unregistered_gateway_follows_the_store() {
     assert!(fleet().ahead("front-c-0").is_none());
     assert!(Role::new(NOW).follows());
 }
 
 #[test]
-fn an_older_list_of_gateways_changes_nothing() {
+fn an_older_list_of_gateways_is_ignored() {
     let mut fleet = fleet();
     fleet.replace(NOW, BTreeMap::new(), 8);
     assert_eq!(fleet.all().len(), 12);
@@ -65,41 +67,42 @@
     assert_eq!((fleet.registered().len(), fleet.revision()), (11, 10));
 }
 
-/// Registrations lapse with the store: the gateways that had them are told news and counted on.
+/// Registrations lapse when the store fails: the gateways still count and get gossip messages.
 #[test]
-fn a_gateway_whose_registration_is_gone_counts_for_a_while() {
+fn a_gateway_with_a_lapsed_registration_counts_for_a_while() {
     let mut fleet = fleet();
     fleet.replace(NOW, BTreeMap::new(), 10);
-    fleet.expire(NOW.after(LAPSE / 2));
+    fleet.expire(NOW.after(LAPSE_GRACE / 2));
     assert_eq!(fleet.all().len(), 12);
-    let (name, again) = gateway(4, "a", 500);
-    fleet.apply(NOW.after(LAPSE / 2), &name, Some(again), 11);
-    fleet.expire(NOW.after(LAPSE));
+    let (name, gateway) = gateway(4, "a", 500);
+    fleet.apply(NOW.after(LAPSE_GRACE / 2), &name, Some(gateway), 11);
+    fleet.expire(NOW.after(LAPSE_GRACE));
     assert_eq!(fleet.all().keys().collect::<Vec<_>>(), [&name]);
     assert_eq!(fleet.registered().len(), 1);
 }
 
-/// A gateway stops following only after a while in which it need not.
+/// A gateway stops following the store only after a delay.
 #[test]
-fn a_gateway_follows_unless_two_before_it_do() {
+fn a_gateway_follows_the_store_unless_two_higher_ranked_ones_do() {
     let mut role = Role::new(NOW);
-    role.judge(NOW.after(KEEP), 2, 2);
+    role.judge(NOW.after(STEP_DOWN_DELAY), 2, 2);
     assert!(role.follows());
-    let later = NOW.after(KEEP + Duration::from_millis(1));
+    let later = NOW.after(STEP_DOWN_DELAY + Duration::from_millis(1));
     role.judge(later, 2, 2);
     assert!(!role.follows());
     role.judge(later, 2, 1);
-    role.judge(later.after(STEP), 2, 1);
+    role.judge(later.after(TAKEOVER_STEP), 2, 1);
     assert!(role.follows());
-    role.judge(later.after(KEEP), 2, 2);
-    assert!(role.follows(), "it goes on for a while");
+    role.judge(later.after(STEP_DOWN_DELAY), 2, 2);
+    assert!(role.follows(), "it keeps following for a while");
 }
 
-/// The gateways of a zone begin one after the other when a delegate is missed, the first ones first.
+/// When a leader is missing, the gateways of a zone start to follow the store one after the other,
+/// by rank.
 #[test]
-fn a_zone_does_not_list_the_store_all_at_once() {
-    let missed = NOW.after(KEEP * 2);
-    let begun = |ahead: usize, after: Duration| {
+fn gateways_of_a_zone_take_over_one_after_the_other() {
+    let missed = NOW.after(STEP_DOWN_DELAY * 2);
+    let follows_after = |ahead: usize, after: Duration| {
         let mut role = Role::new(NOW);
         role.judge(missed, ahead, 2);
         role.judge(missed, ahead, 1);
@@ -111,48 +114,51 @@
         role.judge(NOW, 3, heard);
         role.leads()
     };
-    assert!(begun(1, Duration::ZERO));
-    assert!(!begun(2, STEP / 2) && begun(2, STEP));
-    assert!(!begun(5, STEP * 3) && begun(5, STEP * 4));
-    assert!(begun(50, STEP * STEPS_MAX));
+    assert!(follows_after(1, Duration::ZERO));
+    assert!(!follows_after(2, TAKEOVER_STEP / 2) && follows_after(2, TAKEOVER_STEP));
+    assert!(!follows_after(5, TAKEOVER_STEP * 3) && follows_after(5, TAKEOVER_STEP * 4));
+    assert!(follows_after(50, TAKEOVER_STEP * TAKEOVER_STEPS_MAX));
     assert!(leads(0) && !leads(1));
     let mut role = Role::new(NOW);
     role.judge(missed, 5, 2);
     role.judge(missed, 5, 1);
-    role.judge(missed.after(STEP), 5, 2);
-    role.judge(missed.after(STEP * 4), 5, 1);
-    assert!(!role.follows(), "another one took the place meanwhile");
+    role.judge(missed.after(TAKEOVER_STEP), 5, 2);
+    role.judge(missed.after(TAKEOVER_STEP * 4), 5, 1);
+    assert!(!role.follows(), "another gateway took over meanwhile");
 }
 
-/// Whoever of a zone is lost or cut from the store, two of those that are left and hear it follow it.
+/// In every combination of lost and cut-off gateways, two of the gateways that reach the store
+/// follow it.
 #[test]
-fn two_of_those_that_can_follow_the_store_in_any_state_of_a_zone() {
+fn two_gateways_follow_the_store_in_any_state_of_a_zone() {
     let fleet = fleet();
     let names: Vec<String> = (0..6).map(|n| format!("front-a-{n}")).collect();
-    // Each gateway is well, cut from the store, or lost.
+    // Each gateway is healthy, cut off from the store, or lost.
     for state in 0..3_usize.pow(6) {
         let of = |i: usize| state / 3_usize.pow(i as u32) % 3;
-        let well: Vec<&str> = (0..6).filter(|i| of(*i) == 0).map(|i| names[i].as_str()).collect();
-        let mut said: BTreeMap<&str, Link> = BTreeMap::new();
-        // Each judges by what the others said last, until nothing changes.
+        let healthy: Vec<&str> =
+            (0..6).filter(|i| of(*i) == 0).map(|i| names[i].as_str()).collect();
+        let mut reports: BTreeMap<&str, Link> = BTreeMap::new();
+        // Each gateway decides by the latest reports of the others, until nothing changes.
         for _ in 0..8 {
-            let before = said.clone();
+            let before = reports.clone();
             for (i, name) in names.iter().enumerate().filter(|(i, _)| of(*i) < 2) {
-                let link = match (follow(&fleet, &before, name) < PER_ZONE, of(i)) {
-                    (false, _) => Link::Indirect,
-                    (true, 0) => HEARD,
-                    (true, _) => Link::Away,
-                };
-                said.insert(name, link);
+                let link =
+                    match (connected_leaders(&fleet, &before, name) < LEADERS_PER_ZONE, of(i)) {
+                        (false, _) => Link::Indirect,
+                        (true, 0) => HEARD,
+                        (true, _) => Link::Away,
+                    };
+                reports.insert(name, link);
             }
         }
-        let heard = said.values().filter(|link| **link == HEARD).count();
-        assert_eq!(heard, well.len().min(PER_ZONE), "{state}: {said:?}");
+        let heard = reports.values().filter(|link| **link == HEARD).count();
+        assert_eq!(heard, healthy.len().min(LEADERS_PER_ZONE), "{state}: {reports:?}");
     }
 }
 
 #[test]
-fn a_silent_delegate_does_not_count() {
+fn a_silent_zone_leader_does_not_count() {
     let mut shares = Shares::default();
     shares.hear(NOW, Share { name: "a".into(), seq: 1, link: HEARD, ..Share::default() });
     assert_eq!(shares.link(NOW, "a"), Some(HEARD));
@@ -161,7 +167,7 @@
 }
 
 #[test]
-fn the_best_link_of_all_counts() {
+fn the_best_link_of_all_peers_counts() {
     let mut shares = Shares::default();
     let links = [Link::Indirect, Link::Away, Link::Heard { settles: 900, age: 0 }, HEARD];
     for (n, link) in links.into_iter().enumerate() {
@@ -170,9 +176,9 @@
     }
 }
 
-/// One that hears of the store from others keeps what vanished for as long as they do.
+/// A gateway that does not follow the store trusts its registrations when its leaders do.
 #[test]
-fn the_store_is_believed_as_those_believe_it_who_follow_it() {
+fn a_gateway_adopts_the_store_state_of_its_zone_leader() {
     let mut fresh = Freshness::default();
     assert!(fresh.adopt(NOW, Link::Away));
     assert!(!fresh.settled(NOW));
@@ -180,14 +186,15 @@
     assert!(!fresh.is_away() && !fresh.settled(NOW));
     let settled = NOW.after(Duration::from_millis(700));
     assert!(fresh.settled(settled));
-    assert!(!fresh.adopt(settled, Link::Indirect), "nothing is heard, nothing changes");
+    assert!(!fresh.adopt(settled, Link::Indirect), "no report, no change");
     fresh.known(NOW);
     assert_eq!(fresh.link(NOW, SILENCE), Link::Heard { settles: 700, age: 0 });
 }
 
-/// Who waits for a watch that a silent store will not answer is no help to its zone, before the watch ends.
+/// A gateway that waits for a watch on a silent store must not keep its zone from replacing it
+/// until the watch ends.
 #[test]
-fn who_heard_nothing_for_long_does_not_say_that_it_hears_the_store() {
+fn a_gateway_without_an_answer_for_long_reports_the_store_as_unreachable() {
     let mut fresh = Freshness::default();
     fresh.on_answer(NOW, NOW);
     let link = |at: Timestamp| fresh.link(at, SILENCE);
@@ -195,19 +202,20 @@
     assert_eq!(link(NOW.after(SILENCE).after(Duration::from_millis(1))), Link::Away);
 }
 
-/// An answer that took long to read holds as of when it was given.
+/// An answer that took long to read is valid as of when it was given.
 #[test]
-fn an_answer_is_as_old_as_its_head() {
+fn an_answer_is_valid_as_of_its_head() {
     let mut fresh = Freshness::default();
     fresh.on_answer(NOW.after(SILENCE), NOW);
     assert_eq!(fresh.known_at(), NOW);
     fresh.known(NOW.before(SILENCE));
-    assert_eq!(fresh.known_at(), NOW, "it is never known to hold for less");
+    assert_eq!(fresh.known_at(), NOW, "it never goes back");
 }
 
-/// A list holds as of when somebody who knows nothing newer said so; who knows more says nothing of it.
+/// A list is known to be complete as of the report of a peer that knows nothing newer; peers that
+/// know more don't count.
 #[test]
-fn a_list_heard_from_peers_is_as_old_as_they_say() {
+fn a_list_from_peers_is_as_old_as_they_report() {
     let mut shares = Shares::default();
     assert_eq!(shares.known_at(NOW, 9), None);
     let link = |age| Link::Heard { settles: 0, age };
--- a/crates/router/tests/engines.rs
+++ b/crates/router/tests/engines.rs
@@ -1,4 +1,4 @@
-//! Places at model engines: who is asked, who waits, who is refused.
+//! Admission to model engines: which engine is asked, and which requests wait or are refused.
 
 #[path = "support/fleet.rs"]
 mod fleet;
@@ -8,10 +8,11 @@
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Engine, Server, ServerId, Stage};
 use ebonyloft_router::engines::{
-    Advice, BAR_MAX, Engines, FULL_REST, Lack, Need, REJECT_REST, SCARCE, TIGHT, Ticket, View, bar,
+    Advice, Engines, FREE_SCARCE, FREE_TIGHT, FULL_BACKOFF, Lack, Need, REJECT_BACKOFF,
+    THRESHOLD_MAX, Ticket, View, value_threshold,
 };
-use ebonyloft_router::forecast::{MARGIN, Profile};
-use ebonyloft_router::growth::{Lengths, Usual};
+use ebonyloft_router::forecast::{MARGIN_SIGMAS, Profile};
+use ebonyloft_router::growth::{AnswerLengths, Usual};
 use ebonyloft_router::share::Work;
 
 use self::fleet::{engine, server};
@@ -37,14 +38,14 @@
 /// A request that needs 4,000 tokens and is in time with its first event within 900 ms.
 fn need() -> Need {
     let (first_by, ends_at) = (after(900), after(14_000));
-    Need { memory: Profile::flat(4_000), first_by, ends_at, gives: 1.0, begun: false }
+    Need { memory: Profile::constant(4_000), first_by, ends_at, gives: 1.0, begun: false }
 }
 
 fn advise(engines: &Engines, at: Timestamp, ticket: Ticket, servers: &[Server]) -> Advice {
     advise_with(engines, at, ticket, at.after(Duration::from_millis(100)), servers, Work::default())
 }
 
-/// The same with a moment at which the prompt is read, and peers' work at each engine.
+/// The same with the time at which prefill would end, and the peers' load at each engine.
 fn advise_with(
     engines: &Engines,
     at: Timestamp,
@@ -58,7 +59,7 @@
 }
 
 #[test]
-fn two_that_come_at_once_are_both_served_when_there_is_room() {
+fn two_simultaneous_requests_are_both_admitted_when_there_is_room() {
     let servers = servers(2);
     let mut engines = Engines::default();
     let first = engines.join(NOW, need(), after(100));
@@ -70,27 +71,27 @@
 }
 
 #[test]
-fn the_engine_with_the_most_room_is_asked() {
+fn the_engine_with_the_most_free_memory_is_asked() {
     let servers = servers(3);
     let mut engines = Engines::default();
-    engines.placed(&id(0), Profile::flat(12_000));
-    engines.placed(&id(2), Profile::flat(8_000));
+    engines.placed(&id(0), Profile::constant(12_000));
+    engines.placed(&id(2), Profile::constant(8_000));
     let ticket = engines.join(NOW, need(), after(100));
     assert_eq!(advise(&engines, NOW, ticket, &servers), Advice::Ask(id(1)));
 }
 
 #[test]
-fn peers_work_counts_too() {
+fn the_load_of_peers_counts() {
     let servers = servers(1);
     let mut engines = Engines::default();
     let ticket = engines.join(NOW, need(), after(100));
-    let full = Work { memory: Profile::flat(17_000), count: 4, ..Work::default() };
+    let full = Work { memory: Profile::constant(17_000), count: 4, ..Work::default() };
     let advice = advise_with(&engines, NOW, ticket, after(100), &servers, full);
     assert!(matches!(advice, Advice::Wait(_)));
 }
 
 #[test]
-fn the_one_whose_goal_is_nearest_goes_first() {
+fn the_request_with_the_earliest_goal_goes_first() {
     let servers = servers(1);
     let mut engines = Engines::default();
     let relaxed = engines.join(NOW, need(), after(100));
@@ -101,7 +102,7 @@
 }
 
 #[test]
-fn a_late_one_goes_behind_all_that_can_be_in_time() {
+fn a_late_request_goes_behind_all_that_can_be_in_time() {
     let servers = servers(1);
     let mut engines = Engines::default();
     let late = Need { first_by: NOW, ..need() };
@@ -112,7 +113,7 @@
 }
 
 #[test]
-fn a_prompt_that_is_read_too_late_is_refused_at_once() {
+fn a_request_whose_prefill_would_end_too_late_is_refused_at_once() {
     let servers = servers(1);
     let mut engines = Engines::default();
     let ticket = engines.join(NOW, need(), after(2_000));
@@ -122,10 +123,10 @@
 }
 
 #[test]
-fn who_waits_in_vain_is_refused_while_there_is_time_to_say_so() {
+fn a_request_that_waits_in_vain_is_refused_before_its_goal() {
     let servers = servers(1);
     let mut engines = Engines::default();
-    engines.placed(&id(0), Profile::flat(18_000));
+    engines.placed(&id(0), Profile::constant(18_000));
     let ticket = engines.join(NOW, need(), after(100));
     assert!(matches!(advise(&engines, NOW, ticket, &servers), Advice::Wait(_)));
     let advice = advise(&engines, after(700), ticket, &servers);
@@ -133,10 +134,10 @@
 }
 
 #[test]
-fn with_many_ahead_and_few_ends_nobody_waits() {
+fn with_many_requests_ahead_and_few_completions_a_request_is_refused() {
     let servers = servers(1);
     let mut engines = Engines::default();
-    engines.placed(&id(0), Profile::flat(18_000));
+    engines.placed(&id(0), Profile::constant(18_000));
     let mut last = engines.join(NOW, need(), after(100));
     for _ in 0..5 {
         last = engines.join(NOW, need(), after(100));
@@ -145,100 +146,101 @@
 }
 
 #[test]
-fn an_engine_that_is_full_is_left_alone_until_an_answer_ends_there() {
+fn a_full_engine_is_not_asked_until_an_answer_ends_there() {
     let servers = servers(1);
     let mut engines = Engines::default();
-    engines.placed(&id(0), Profile::flat(100));
+    engines.placed(&id(0), Profile::constant(100));
     engines.full(NOW, &id(0));
     let ticket = engines.join(NOW, need(), after(100));
     assert!(matches!(advise(&engines, NOW, ticket, &servers), Advice::Wait(_)));
-    engines.freed(NOW, &id(0), Profile::flat(100), true);
+    engines.freed(NOW, &id(0), Profile::constant(100), true);
     assert!(matches!(advise(&engines, NOW, ticket, &servers), Advice::Ask(_)));
 }
 
 #[test]
-fn an_engine_that_is_full_is_asked_again_after_a_while() {
+fn a_full_engine_is_asked_again_after_its_backoff() {
     let servers = servers(1);
     let mut engines = Engines::default();
     engines.full(NOW, &id(0));
     let ticket = engines.join(NOW, need(), after(100));
-    let later = NOW.after(FULL_REST);
+    let later = NOW.after(FULL_BACKOFF);
     assert!(matches!(advise(&engines, later, ticket, &servers), Advice::Ask(_)));
 }
 
 #[test]
-fn an_engine_that_turns_reserved_requests_away_rests_longer_each_time() {
+fn the_backoff_grows_with_each_rejected_reservation() {
     let servers = servers(1);
     let mut engines = Engines::default();
     let long = Need { first_by: after(60_000), ..need() };
     let ticket = engines.join(NOW, long, after(100));
     engines.rejected(NOW, &id(0));
-    let once = NOW.after(REJECT_REST);
+    let once = NOW.after(REJECT_BACKOFF);
     assert!(matches!(advise(&engines, once, ticket, &servers), Advice::Ask(_)));
     engines.rejected(once, &id(0));
-    let again = once.after(REJECT_REST);
+    let again = once.after(REJECT_BACKOFF);
     assert!(matches!(advise(&engines, again, ticket, &servers), Advice::Wait(_)));
     engines.took(&id(0));
     engines.rejected(after(10_000), &id(0));
-    let later = after(10_000).after(REJECT_REST);
+    let later = after(10_000).after(REJECT_BACKOFF);
     assert!(matches!(advise(&engines, later, ticket, &servers), Advice::Ask(_)));
 }
 
 #[test]
-fn what_is_given_back_is_free() {
+fn released_memory_is_free() {
     let mut engines = Engines::default();
-    engines.placed(&id(0), Profile::flat(4_000));
-    engines.grown(&id(0), Profile::flat(4_000), Profile::flat(4_700));
+    engines.placed(&id(0), Profile::constant(4_000));
+    engines.grown(&id(0), Profile::constant(4_000), Profile::constant(4_700));
     engines.reading(&id(1), 3_000);
     assert_eq!(engines.own(&id(0)).memory.peak(), 4_700);
     engines.read(&id(1), 3_000);
-    engines.freed(NOW, &id(0), Profile::flat(4_700), true);
+    engines.freed(NOW, &id(0), Profile::constant(4_700), true);
     assert!(engines.work().is_empty());
 }
 
-/// The same name in its next life: an engine that holds and knows nothing.
+/// The name is reused by a new incarnation, an engine without any load.
 #[test]
-fn nothing_of_a_life_counts_for_the_next() {
+fn state_of_an_incarnation_does_not_apply_to_the_next() {
     let mut engines = Engines::default();
     let next = ServerId::new(id(0).name, 7);
-    engines.placed(&id(0), Profile::flat(18_000));
+    engines.placed(&id(0), Profile::constant(18_000));
     engines.fault(NOW, &id(0));
     let servers = [Server { id: next.clone(), ..servers(1).remove(0) }];
     let ticket = engines.join(NOW, need(), after(100));
     assert_eq!(advise(&engines, NOW, ticket, &servers), Advice::Ask(next.clone()));
-    // Once the answers of the life before are over, nothing of it is kept.
-    engines.freed(NOW, &id(0), Profile::flat(18_000), false);
+    // Once the answers of the old incarnation have ended, its state is dropped.
+    engines.freed(NOW, &id(0), Profile::constant(18_000), false);
     engines.retain(|alive| *alive == next);
     assert!(engines.work().is_empty());
     assert!(!engines.faulty(NOW, &id(0)));
 }
 
 #[test]
-fn the_bar_rises_as_memory_runs_out() {
-    assert_eq!(bar(1.0), 0.0);
-    assert_eq!(bar(SCARCE), 0.0);
-    assert!(bar((SCARCE + TIGHT) / 2.0) > 0.4 * BAR_MAX);
-    assert_eq!(bar(TIGHT), BAR_MAX);
-    assert_eq!(bar(0.0), BAR_MAX);
+fn the_value_threshold_rises_as_memory_runs_out() {
+    assert_eq!(value_threshold(1.0), 0.0);
+    assert_eq!(value_threshold(FREE_SCARCE), 0.0);
+    assert!(value_threshold((FREE_SCARCE + FREE_TIGHT) / 2.0) > 0.4 * THRESHOLD_MAX);
+    assert_eq!(value_threshold(FREE_TIGHT), THRESHOLD_MAX);
+    assert_eq!(value_threshold(0.0), THRESHOLD_MAX);
 }
 
-/// Peers' work at 20 engines of 20,000 tokens, of which one has room: 5 in 100 of all memory are free.
+/// Peers' load at 20 engines of 20,000 tokens, of which only one has room: 5 % of all memory is
+/// free.
 fn scarce(s: &ServerId) -> Work {
     match *s == id(7) {
-        true => Work { memory: Profile::flat(12_000), count: 3, ..Work::default() },
-        false => Work { memory: Profile::flat(19_800), count: 6, ..Work::default() },
+        true => Work { memory: Profile::constant(12_000), count: 3, ..Work::default() },
+        false => Work { memory: Profile::constant(19_800), count: 6, ..Work::default() },
     }
 }
 
-/// What a request is told while memory is scarce.
+/// The decision for a request while memory is scarce.
 fn advise_scarce(engines: &Engines, ticket: Ticket) -> Advice {
     let view = View { engine: &spec(), read_at: after(100), entries: 4 };
     engines.advise(NOW, ticket, &view, servers(20).iter(), scarce, || 0.5)
 }
 
-/// A request that gives little leaves scarce memory to others.
+/// A request of low value leaves scarce memory to others.
 #[test]
-fn scarce_memory_is_left_to_requests_that_give_more() {
+fn scarce_memory_is_left_to_requests_of_higher_value() {
     let advice = |gives: f64, late: bool, begun: bool| {
         let mut engines = Engines::default();
         let first_by = if late { NOW } else { after(900) };
@@ -248,14 +250,14 @@
     };
     assert_eq!(advice(2.5, false, false), Advice::Ask(id(7)));
     assert!(matches!(advice(0.5, false, false), Advice::Wait(_)));
-    // A late answer is worth less; one that goes on must go on.
+    // A late answer is worth less; an answer that has begun must continue.
     assert!(matches!(advice(2.5, true, false), Advice::Wait(_)));
     assert_eq!(advice(0.5, false, true), Advice::Ask(id(7)));
 }
 
-/// One that waits below the bar is no reason for others to wait.
+/// A waiting request below the value threshold must not make others wait.
 #[test]
-fn a_request_below_the_bar_holds_up_nobody() {
+fn a_request_below_the_threshold_does_not_block_others() {
     let mut engines = Engines::default();
     engines.join(NOW, Need { gives: 0.3, first_by: after(800), ..need() }, after(100));
     let second = engines.join(NOW, Need { gives: 2.5, ..need() }, after(100));
@@ -263,8 +265,8 @@
 }
 
 #[test]
-fn a_shorter_answer_gives_more_for_its_memory() {
-    let (lengths, usual) = (Lengths::default(), Usual::default());
+fn a_shorter_answer_has_a_higher_value_for_its_memory() {
+    let (lengths, usual) = (AnswerLengths::default(), Usual::default());
     let gives = |hint: u64, prompt: u64| usual.gives(&lengths.expect(2_040, Some(hint)), prompt);
     let middle = gives(740, 3_200);
     assert!((0.9..1.15).contains(&middle), "{middle}");
@@ -278,48 +280,49 @@
     engines.lend(NOW, need, &view, servers.iter(), |_| Work::default(), || 0.5)
 }
 
-/// What may become longer than an engine's memory is placed where nothing else is.
+/// An answer that may outgrow an engine's memory is admitted where nothing else runs.
 #[test]
 fn an_idle_engine_takes_what_it_can_hold() {
     let servers = servers(1);
     let mut engines = Engines::default();
-    let growth = Lengths::default().expect(20_000, None);
+    let growth = AnswerLengths::default().expect(20_000, None);
     let long = Need { memory: growth.profile(15_000, 0), ..need() };
-    assert!(long.memory.room(spec().tokens, MARGIN) < 0);
+    assert!(long.memory.room(spec().tokens, MARGIN_SIGMAS) < 0);
     let ticket = engines.join(NOW, long, after(100));
     assert_eq!(advise(&engines, NOW, ticket, &servers), Advice::Ask(id(0)));
-    engines.placed(&id(0), Profile::flat(1_000));
+    engines.placed(&id(0), Profile::constant(1_000));
     assert!(!matches!(advise(&engines, NOW, ticket, &servers), Advice::Ask(_)));
 }
 
-/// What another zone can't serve is taken where there is room that nobody here waits for.
+/// A request that overflows from another zone is admitted where no local request waits for the
+/// memory.
 #[test]
-fn room_is_lent_while_nobody_here_waits_for_it() {
+fn memory_is_granted_to_other_zones_while_no_local_request_waits() {
     let servers = servers(2);
     let mut engines = Engines::default();
     assert!(lend(&engines, &need(), 100, &servers).is_some());
-    assert_eq!(lend(&engines, &need(), 800, &servers), None, "its prompt would be read too late");
+    assert_eq!(lend(&engines, &need(), 800, &servers), None, "prefill would end too late");
     let ticket = engines.join(NOW, need(), after(100));
-    assert_eq!(lend(&engines, &need(), 100, &servers), None, "it is waited for");
+    assert_eq!(lend(&engines, &need(), 100, &servers), None, "a local request waits for it");
     engines.leave(ticket);
-    engines.placed(&id(0), Profile::flat(20_000));
-    engines.placed(&id(1), Profile::flat(17_000));
-    assert_eq!(lend(&engines, &need(), 100, &servers), None, "nothing is free");
+    engines.placed(&id(0), Profile::constant(20_000));
+    engines.placed(&id(1), Profile::constant(17_000));
+    assert_eq!(lend(&engines, &need(), 100, &servers), None, "no memory is free");
 }
 
-/// Scarce memory is lent only to requests that give as much for it as those that come here must.
+/// For scarce memory a request of another zone needs the same value as a local one.
 #[test]
-fn scarce_memory_is_not_lent_for_less() {
+fn scarce_memory_is_not_granted_to_other_zones_below_the_threshold() {
     let servers = servers(1);
     let mut engines = Engines::default();
-    engines.placed(&id(0), Profile::flat(19_300));
-    let small = Need { memory: Profile::flat(500), ..need() };
+    engines.placed(&id(0), Profile::constant(19_300));
+    let small = Need { memory: Profile::constant(500), ..need() };
     assert_eq!(lend(&engines, &Need { gives: 0.5, ..small }, 100, &servers), None);
-    assert!(lend(&engines, &Need { gives: BAR_MAX, ..small }, 100, &servers).is_some());
+    assert!(lend(&engines, &Need { gives: THRESHOLD_MAX, ..small }, 100, &servers).is_some());
 }
 
 #[test]
-fn a_zone_is_short_without_room_or_reader() {
+fn a_zone_is_short_without_free_memory_or_prefill_engine() {
     let servers = servers(1);
     let mut engines = Engines::default();
     let short = |engines: &Engines, read_ms: u64| {
@@ -327,25 +330,25 @@
         engines.is_short(NOW, &need(), &view, servers.iter(), |_| Work::default())
     };
     assert!(!short(&engines, 100));
-    assert!(short(&engines, 800), "no reader in time");
-    engines.placed(&id(0), Profile::flat(17_000));
-    assert!(short(&engines, 100), "no room");
+    assert!(short(&engines, 800), "no prefill engine in time");
+    engines.placed(&id(0), Profile::constant(17_000));
+    assert!(short(&engines, 100), "no free memory");
 }
 
-/// Memory that is left in pieces smaller than a request is no place.
+/// Memory fragments smaller than a request don't count.
 #[test]
-fn places_are_counted_by_engine() {
+fn capacity_is_counted_by_engine() {
     let servers = servers(3);
     let servers: Vec<&Server> = servers.iter().collect();
     let mut engines = Engines::default();
     let places = |engines: &Engines| {
-        engines.places(NOW, &servers, &spec(), Profile::flat(4_000), |_| Work::default())
+        engines.places(NOW, &servers, &spec(), Profile::constant(4_000), |_| Work::default())
     };
     assert_eq!(places(&engines), 15);
     for i in 0..3 {
-        engines.placed(&id(i), Profile::flat(17_000));
+        engines.placed(&id(i), Profile::constant(17_000));
     }
     assert_eq!(places(&engines), 0);
-    engines.freed(NOW, &id(0), Profile::flat(17_000), true);
+    engines.freed(NOW, &id(0), Profile::constant(17_000), true);
     assert_eq!(places(&engines), 5);
 }
--- a/crates/router/tests/load.rs
+++ b/crates/router/tests/load.rs
@@ -1,4 +1,4 @@
-//! The heaviest seconds, played: what callers get when prompts or memory run out.
+//! Simulation of the heaviest load: what callers get when prefill or memory runs out.
 
 #[path = "support/fleet.rs"]
 mod fleet;
@@ -7,88 +7,92 @@
 
 use std::time::Duration;
 
-use self::world::{Got, Plan, play};
+use self::world::{Outcome, Plan, simulate};
 
-const CALM: Plan = Plan {
-    readers: 2,
-    writers: 7,
+const NORMAL: Plan = Plan {
+    prefill_engines: 2,
+    decode_engines: 7,
     rate: 10.4,
     burst: 1.0,
-    lost: false,
-    foretell: true,
-    bar: false,
+    lose_engine: false,
+    predict: true,
+    threshold: false,
     seed: 0,
 };
 
-/// The mean worth over some seeds, and the sum of what callers got.
-fn runs(plan: Plan) -> (f64, Got) {
-    let all: Vec<Got> = (0..6).map(|seed| play(Plan { seed, ..plan })).collect();
-    let mut sum = Got::default();
-    for got in &all {
-        sum.asked += got.asked;
-        sum.in_time += got.in_time;
-        sum.late += got.late;
-        sum.refused += got.refused;
-        sum.left += got.left;
-        sum.vain += got.vain;
-        sum.held = sum.held.max(got.held);
-        sum.owed += got.owed;
-        sum.earned += got.earned;
-        sum.long_asked += got.long_asked;
-        sum.long_in_time += got.long_in_time;
+/// Returns the mean value over six seeds, and the sums of the outcomes.
+fn run_seeds(plan: Plan) -> (f64, Outcome) {
+    let all: Vec<Outcome> = (0..6).map(|seed| simulate(Plan { seed, ..plan })).collect();
+    let mut sum = Outcome::default();
+    for outcome in &all {
+        sum.asked += outcome.asked;
+        sum.in_time += outcome.in_time;
+        sum.late += outcome.late;
+        sum.refused += outcome.refused;
+        sum.left += outcome.left;
+        sum.wasted += outcome.wasted;
+        sum.longest_wait = sum.longest_wait.max(outcome.longest_wait);
+        sum.value_asked += outcome.value_asked;
+        sum.value_served += outcome.value_served;
+        sum.long_asked += outcome.long_asked;
+        sum.long_in_time += outcome.long_in_time;
     }
-    (all.iter().map(Got::worth).sum::<f64>() / all.len() as f64, sum)
+    (all.iter().map(Outcome::value).sum::<f64>() / all.len() as f64, sum)
 }
 
 #[test]
 fn a_calm_load_is_served_in_time() {
-    let (worth, got) = runs(CALM);
-    assert!(worth > 0.98, "{worth} {got:?}");
-    assert_eq!(got.vain, 0);
+    let (value, outcome) = run_seeds(NORMAL);
+    assert!(value > 0.98, "{value} {outcome:?}");
+    assert_eq!(outcome.wasted, 0);
 }
 
-/// 2.2 times the rate for six seconds. Mean worth of six seeds: 0.83 when everyone waits in line,
-/// 0.96 by foretelling.
+/// 2.2 times the rate for six seconds. Mean value over six seeds: 0.83 when every request queues,
+/// 0.96 when admission uses predictions.
 #[test]
-fn a_burst_that_fills_the_memory_serves_those_in_time() {
-    let burst = Plan { burst: 2.2, ..CALM };
-    let (worth, got) = runs(burst);
-    let (before, line) = runs(Plan { foretell: false, ..burst });
-    assert!(worth > before + 0.05, "{worth} {got:?}, before {before} {line:?}");
-    assert_eq!(got.vain, 0);
+fn in_a_burst_that_fills_the_memory_requests_are_served_in_time() {
+    let burst = Plan { burst: 2.2, ..NORMAL };
+    let (value, outcome) = run_seeds(burst);
+    let (before, queueing) = run_seeds(Plan { predict: false, ..burst });
+    assert!(value > before + 0.05, "{value} {outcome:?}, before {before} {queueing:?}");
+    assert_eq!(outcome.wasted, 0);
 }
 
-/// A reader is lost in a burst of 1.9. In line, prompts queue until callers leave and are read in
-/// vain: mean worth 0.42, by foretelling 0.84.
+/// A prefill engine is lost in a burst of 1.9 times the rate. When every request queues, prompts
+/// are processed after their callers have left: mean value 0.42, with predictions 0.84.
 #[test]
-fn a_lost_reader_does_not_end_in_prompts_read_in_vain() {
-    let lost = Plan { burst: 1.9, lost: true, ..CALM };
-    let (worth, got) = runs(lost);
-    let (before, line) = runs(Plan { foretell: false, ..lost });
-    assert!(worth > before + 0.2, "{worth} {got:?}, before {before} {line:?}");
-    assert_eq!(got.vain, 0);
-    assert!(line.vain > 50, "{line:?}");
+fn a_lost_prefill_engine_does_not_lead_to_wasted_prefill() {
+    let lossy = Plan { burst: 1.9, lose_engine: true, ..NORMAL };
+    let (value, outcome) = run_seeds(lossy);
+    let (before, queueing) = run_seeds(Plan { predict: false, ..lossy });
+    assert!(value > before + 0.2, "{value} {outcome:?}, before {before} {queueing:?}");
+    assert_eq!(outcome.wasted, 0);
+    assert!(queueing.wasted > 50, "{queueing:?}");
 }
 
-/// Who can't be served is told so at once, or as soon as its turn can't come in time any more.
+/// A request that can't be served is refused at once, or as soon as it can't be in time any more.
 #[test]
 fn a_refusal_comes_well_before_the_goal() {
-    let (_, got) = runs(Plan { burst: 2.5, lost: true, ..CALM });
-    assert!(got.refused > 100, "{got:?}");
-    assert!(got.held < Duration::from_millis(800), "{got:?}");
+    let (_, outcome) = run_seeds(Plan { burst: 2.5, lose_engine: true, ..NORMAL });
+    assert!(outcome.refused > 100, "{outcome:?}");
+    assert!(outcome.longest_wait < Duration::from_millis(800), "{outcome:?}");
 }
 
-/// 4.5 times the rate for six seconds, enough readers: memory binds. In time of 100 callers 81.6
-/// instead of 77.7, by the size of their answers 78.1 instead of 76.4 (six seeds with one load each).
+/// 4.5 times the rate for six seconds with enough prefill engines, so that memory is the limit. Of
+/// 100 callers 81.6 instead of 77.7 are in time; weighted by answer size 78.1 instead of 76.4 (six
+/// seeds, each with the same load in both runs).
 #[test]
-fn scarce_memory_serves_more_when_it_goes_to_those_who_give_most_for_it() {
-    let burst = Plan { readers: 5, burst: 4.5, ..CALM };
-    let (worth, got) = runs(Plan { bar: true, ..burst });
-    let (before, without) = runs(burst);
-    assert_eq!(got.asked, without.asked);
-    assert!(worth > before + 0.03, "{worth} {got:?}, before {before} {without:?}");
-    assert!(got.sized() > without.sized() + 0.01, "{got:?}, before {without:?}");
-    // Long answers are refused more often, and yet not left out.
-    let long = f64::from(got.long_in_time) / f64::from(got.long_asked);
-    assert!(long > worth * 0.6, "{long} of the longest, {worth} of all");
+fn the_value_threshold_serves_more_requests_when_memory_is_scarce() {
+    let burst = Plan { prefill_engines: 5, burst: 4.5, ..NORMAL };
+    let (value, outcome) = run_seeds(Plan { threshold: true, ..burst });
+    let (before, without) = run_seeds(burst);
+    assert_eq!(outcome.asked, without.asked);
+    assert!(value > before + 0.03, "{value} {outcome:?}, before {before} {without:?}");
+    assert!(
+        outcome.weighted_value() > without.weighted_value() + 0.01,
+        "{outcome:?}, before {without:?}"
+    );
+    // Long answers are refused more often, but not always.
+    let long = f64::from(outcome.long_in_time) / f64::from(outcome.long_asked);
+    assert!(long > value * 0.6, "{long} of the longest, {value} of all");
 }
