--- a/crates/router/tests/load/world.rs
+++ b/crates/router/tests/load/world.rs
@@ -1,7 +1,7 @@
-//! Engines, callers and entries in made-up time, for playing a load against the decisions.
+//! Simulated engines, callers and gateways, for running a load against the admission decisions.
 //!
-//! Engines read prompts one after the other, or hold answers in limited memory for as long as their
-//! tokens take. Entries hear of each other's work with a delay of one datagram round.
+//! Engines process prompts one after the other, or hold answers in limited memory for as long as
+//! their tokens take. Gateways learn of each other's load with a delay of one datagram round.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,107 +10,107 @@
 use ebonyloft_router::catalog::{Engine, Server, ServerId, Stage};
 use ebonyloft_router::engines::{Advice, Engines, FIRST_EVENT, Need, Ticket, View};
 use ebonyloft_router::forecast::Profile;
-use ebonyloft_router::growth::{FIXED_WORTH, Lengths, TOKEN_WORTH, Usual};
+use ebonyloft_router::growth::{AnswerLengths, FIXED_VALUE, OUTPUT_TOKEN_WEIGHT, Usual};
 use ebonyloft_router::prefill::{self, Choice, Paces};
-use ebonyloft_router::reading::{FIRST_RATE, Reading};
+use ebonyloft_router::reading::{INITIAL_RATE, Reading};
 use ebonyloft_router::share::{Share, Shares};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 use crate::fleet::{engine, server};
 
-/// One step of the world.
+/// One step of simulated time.
 const STEP: Duration = Duration::from_millis(5);
-/// Delay with which entries hear of each other.
-const ROUND: u64 = 20;
+/// Steps between two rounds of load reports.
+const ROUND_STEPS: u64 = 20;
 /// Time of one output token.
 const TOKEN: f64 = 0.0043;
-/// Goal of the first event.
+/// Latency goal of the first event.
 const GOAL: Duration = Duration::from_millis(900);
-/// Silence after which callers leave.
-const PATIENCE: Duration = Duration::from_millis(3_600);
-/// Longest output that callers allow, in tokens.
+/// Time without an answer after which callers leave.
+const CALLER_TIMEOUT: Duration = Duration::from_millis(3_600);
+/// Highest output that callers allow, in tokens.
 const OUTPUT_MAX: u64 = 2_040;
 
-/// Memory counted for an answer of which nothing is known.
+/// Memory counted for an answer without an estimate of its length.
 fn reserve(prompt: u64) -> Profile {
-    Lengths::default().expect(OUTPUT_MAX, None).profile(prompt, 0)
+    AnswerLengths::default().expect(OUTPUT_MAX, None).profile(prompt, 0)
 }
 
-/// What is played.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    pub readers: usize,
-    pub writers: usize,
-    /// Requests a second, and how many times more from second 4 to 10.
+    pub prefill_engines: usize,
+    pub decode_engines: usize,
+    /// Requests a second, and the factor by which they increase from second 4 to 10.
     pub rate: f64,
     pub burst: f64,
-    /// A reader that is lost from second 5 on.
-    pub lost: bool,
-    /// Decide by what is foretold; else everyone waits in line and is read at once.
-    pub foretell: bool,
-    /// Keep scarce memory for requests that give most for it.
-    pub bar: bool,
+    /// One prefill engine is lost from second 5 on.
+    pub lose_engine: bool,
+    /// Admit by predictions; otherwise every request queues and prefill starts at once.
+    pub predict: bool,
+    /// Apply the value threshold when memory is scarce.
+    pub threshold: bool,
     pub seed: u64,
 }
 
-/// What callers got.
+/// Outcomes of all requests.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Got {
+pub struct Outcome {
     pub asked: u32,
     pub in_time: u32,
     pub late: u32,
     pub refused: u32,
     pub left: u32,
-    /// Prompts that were read for nobody.
-    pub vain: u32,
+    /// Prompts that were processed after their caller had left.
+    pub wasted: u32,
     /// Longest wait before a refusal.
-    pub held: Duration,
-    /// What all answers and those that came are worth by their size; a late one a fifth.
-    pub owed: f64,
-    pub earned: f64,
-    /// Asked for and in time among the longest tenth.
+    pub longest_wait: Duration,
+    /// Value by size of all answers asked for, and of those delivered; a late one counts a fifth.
+    pub value_asked: f64,
+    pub value_served: f64,
+    /// Answers among the longest tenth: asked for, and in time.
     pub long_asked: u32,
     pub long_in_time: u32,
 }
 
-impl Got {
-    /// What the callers' answers are worth, as a share: a late one counts a fifth.
-    pub fn worth(&self) -> f64 {
+impl Outcome {
+    /// Returns the fraction of the callers' value that was delivered; a late answer counts a fifth.
+    pub fn value(&self) -> f64 {
         (f64::from(self.in_time) + 0.2 * f64::from(self.late)) / f64::from(self.asked)
     }
 
-    /// The same by the size of the answers.
-    pub fn sized(&self) -> f64 {
-        self.earned / self.owed
+    /// Returns the same, weighted by the size of the answers.
+    pub fn weighted_value(&self) -> f64 {
+        self.value_served / self.value_asked
     }
 }
 
-/// Size of the usual request.
-const USUAL_SIZE: f64 = 3_200.0 + TOKEN_WORTH * 864.0;
+/// Size of the typical request.
+const TYPICAL_SIZE: f64 = 3_200.0 + OUTPUT_TOKEN_WEIGHT * 864.0;
 /// Output tokens that one in ten answers exceeds.
 const LONG: u64 = 1_600;
 
-/// What an answer is worth by its size.
-fn size_worth(prompt: u64, output: u64) -> f64 {
-    let size = (prompt as f64 + TOKEN_WORTH * output as f64) / USUAL_SIZE;
-    FIXED_WORTH + (1.0 - FIXED_WORTH) * size
+/// Returns the value of an answer by its size.
+fn size_value(prompt: u64, output: u64) -> f64 {
+    let size = (prompt as f64 + OUTPUT_TOKEN_WEIGHT * output as f64) / TYPICAL_SIZE;
+    FIXED_VALUE + (1.0 - FIXED_VALUE) * size
 }
 
 #[derive(Clone, Copy, PartialEq)]
 enum State {
     Waiting(Ticket),
-    Reading { engine: usize, until: Timestamp },
-    Writing { until: Timestamp },
-    Over,
+    Prefill { engine: usize, until: Timestamp },
+    Decoding { until: Timestamp },
+    Done,
 }
 
 struct Request {
     entry: usize,
-    came: Timestamp,
+    arrived: Timestamp,
     prompt: u64,
     output: u64,
-    writer: usize,
+    decode_engine: usize,
     state: State,
 }
 
@@ -119,10 +119,11 @@
     shares: Shares,
 }
 
-/// The world.
-pub struct World {
+/// The simulation.
+pub struct Simulation {
     plan: Plan,
-    /// Draws of the load, apart from those of decisions: plans with one seed have one load.
+    /// Random numbers of the load, separate from those of decisions: runs with the same seed have
+    /// the same load.
     load: ChaCha8Rng,
     rng: ChaCha8Rng,
     servers: Vec<Server>,
@@ -132,49 +133,49 @@
     free_at: HashMap<usize, Timestamp>,
     now: Timestamp,
     steps: u64,
-    got: Got,
+    outcome: Outcome,
 }
 
-/// Plays 20 s.
-pub fn play(plan: Plan) -> Got {
-    let mut world = World::new(plan);
+/// Simulates 20 s.
+pub fn simulate(plan: Plan) -> Outcome {
+    let mut simulation = Simulation::new(plan);
     for _ in 0..4_000 {
-        world.step();
+        simulation.step();
     }
-    world.got
+    simulation.outcome
 }
 
-impl World {
+impl Simulation {
     fn new(plan: Plan) -> Self {
-        let stage = |i| if i < plan.readers { Stage::Prefill } else { Stage::Decode };
+        let stage = |i| if i < plan.prefill_engines { Stage::Prefill } else { Stage::Decode };
         let server = |i| server(i, 24, Some(stage(i)));
         let entry = |_| Entry { engines: Engines::default(), shares: Shares::default() };
-        World {
+        Simulation {
             plan,
             load: ChaCha8Rng::seed_from_u64(plan.seed),
             rng: ChaCha8Rng::seed_from_u64(plan.seed + 1_000),
-            servers: (0..plan.readers + plan.writers).map(server).collect(),
+            servers: (0..plan.prefill_engines + plan.decode_engines).map(server).collect(),
             spec: engine(24, 42_606),
             entries: (0..4).map(entry).collect(),
             requests: Vec::new(),
             free_at: HashMap::new(),
             now: Timestamp::from_millis(10_000),
             steps: 0,
-            got: Got::default(),
+            outcome: Outcome::default(),
         }
     }
 
     fn step(&mut self) {
         self.steps += 1;
         self.now = self.now.after(STEP);
-        if self.steps.is_multiple_of(ROUND) {
-            self.tell();
+        if self.steps.is_multiple_of(ROUND_STEPS) {
+            self.exchange_reports();
         }
         self.arrive();
         for i in 0..self.requests.len() {
             self.advance(i);
         }
-        self.requests.retain(|r| r.state != State::Over);
+        self.requests.retain(|r| r.state != State::Done);
     }
 
     fn seconds(&self) -> f64 {
@@ -193,154 +194,165 @@
         let output = (864.0 * (0.7 * normal - 0.245).exp()).clamp(12.0, 2_040.0) as u64;
         let entry = self.load.random_range(0..4);
         let gives = self.gives(prompt, output);
-        let (_, read_at) = self.reader(entry, prompt);
+        let (_, read_at) = self.prefill_engine(entry, prompt);
         let first_by = self.now.after(GOAL);
         let ends_at = self.now.after(Duration::from_secs(14));
         let need = Need { memory: reserve(prompt), first_by, ends_at, gives, begun: false };
         let ticket = self.entries[entry].engines.join(self.now, need, read_at);
         let state = State::Waiting(ticket);
-        self.got.asked += 1;
-        self.got.owed += size_worth(prompt, output);
-        self.got.long_asked += u32::from(output > LONG);
-        self.requests.push(Request { entry, came: self.now, prompt, output, writer: 0, state });
+        self.outcome.asked += 1;
+        self.outcome.value_asked += size_value(prompt, output);
+        self.outcome.long_asked += u32::from(output > LONG);
+        self.requests.push(Request {
+            entry,
+            arrived: self.now,
+            prompt,
+            output,
+            decode_engine: 0,
+            state,
+        });
     }
 
-    /// What a request is expected to give for its memory, by its caller's estimate, whose logarithm
-    /// is off by 0.5.
+    /// Returns the expected value of a request by its caller's estimate, whose logarithm has a
+    /// standard deviation of 0.5.
     fn gives(&mut self, prompt: u64, output: u64) -> f64 {
         let normal: f64 = (0..12).map(|_| self.load.random::<f64>()).sum::<f64>() - 6.0;
         let hint = (output as f64 * (0.5 * normal).exp()) as u64;
-        if !self.plan.bar {
+        if !self.plan.threshold {
             return f64::INFINITY;
         }
-        Usual::default().gives(&Lengths::default().expect(OUTPUT_MAX, Some(hint)), prompt)
+        Usual::default().gives(&AnswerLengths::default().expect(OUTPUT_MAX, Some(hint)), prompt)
     }
 
-    /// The reader that would be done first, and when, as this entry believes.
-    fn reader(&mut self, entry: usize, prompt: u64) -> (usize, Timestamp) {
-        let lost = self.plan.lost && self.seconds() > 5.0;
-        let readers = &self.servers[usize::from(lost)..self.plan.readers];
+    /// Returns the prefill engine that would finish first, and when, as far as this gateway knows.
+    fn prefill_engine(&mut self, entry: usize, prompt: u64) -> (usize, Timestamp) {
+        let lost = self.plan.lose_engine && self.seconds() > 5.0;
+        let prefill_engines = &self.servers[usize::from(lost)..self.plan.prefill_engines];
         let e = &self.entries[entry];
         let work = |id: &ServerId| e.engines.own(id).plus(e.shares.work(self.now, id));
         let rng = &mut self.rng;
         let paces = Paces::default();
         let reading = Reading::default();
         let choice = Choice { paces: &paces, reading: &reading, prompt, zone: "z", entries: 4 };
-        let picked = prefill::pick(self.now, readers.iter(), work, &choice, || rng.random());
-        let (server, at) = picked.unwrap_or((&readers[0], self.now.after(PATIENCE)));
+        let picked =
+            prefill::pick(self.now, prefill_engines.iter(), work, &choice, || rng.random());
+        let (server, at) = picked.unwrap_or((&prefill_engines[0], self.now.after(CALLER_TIMEOUT)));
         (self.index(&server.id.clone()), at)
     }
 
     fn index(&self, id: &ServerId) -> usize {
-        self.servers.iter().position(|s| s.id == *id).expect("it is of the list")
+        self.servers.iter().position(|s| s.id == *id).expect("the engine is listed")
     }
 
     fn advance(&mut self, i: usize) {
         match self.requests[i].state {
             State::Waiting(ticket) => self.wait(i, ticket),
-            State::Reading { engine, until } if until <= self.now => self.read(i, engine),
-            State::Writing { until } if until <= self.now => self.end(i, true),
+            State::Prefill { engine, until } if until <= self.now => self.read(i, engine),
+            State::Decoding { until } if until <= self.now => self.end(i, true),
             _ => {}
         }
     }
 
     fn wait(&mut self, i: usize, ticket: Ticket) {
-        let (entry, prompt, came) = {
+        let (entry, prompt, arrived) = {
             let r = &self.requests[i];
-            (r.entry, r.prompt, r.came)
+            (r.entry, r.prompt, r.arrived)
         };
-        let (reader, mut read_at) = self.reader(entry, prompt);
-        if !self.plan.foretell {
+        let (prefill_engine, mut read_at) = self.prefill_engine(entry, prompt);
+        if !self.plan.predict {
             read_at = self.now;
         }
         let draw = self.rng.random();
         let e = &self.entries[entry];
         let work = |id: &ServerId| e.shares.work(self.now, id);
-        let writers = self.servers[self.plan.readers..].iter();
+        let decode_engines = self.servers[self.plan.prefill_engines..].iter();
         let view = View { engine: &self.spec, read_at, entries: 4 };
-        let advice = e.engines.advise(self.now, ticket, &view, writers, work, || draw);
+        let advice = e.engines.advise(self.now, ticket, &view, decode_engines, work, || draw);
         match advice {
             Advice::Ask(id) => {
-                let writer = self.index(&id);
-                self.take(i, ticket, writer, reader);
+                let decode_engine = self.index(&id);
+                self.take(i, ticket, decode_engine, prefill_engine);
             }
             Advice::Wait(_) => {}
-            Advice::Refuse(..) if self.plan.foretell => {
+            Advice::Refuse(..) if self.plan.predict => {
                 self.entries[entry].engines.leave(ticket);
-                self.got.refused += 1;
-                self.got.held = self.got.held.max(self.now.since(came));
-                self.requests[i].state = State::Over;
+                self.outcome.refused += 1;
+                self.outcome.longest_wait = self.outcome.longest_wait.max(self.now.since(arrived));
+                self.requests[i].state = State::Done;
             }
-            Advice::Refuse(..) if self.now.since(came) > PATIENCE => {
+            Advice::Refuse(..) if self.now.since(arrived) > CALLER_TIMEOUT => {
                 self.entries[entry].engines.leave(ticket);
-                self.got.left += 1;
-                self.requests[i].state = State::Over;
+                self.outcome.left += 1;
+                self.requests[i].state = State::Done;
             }
             Advice::Refuse(..) => {}
         }
     }
 
-    /// Asks an engine for a place; it knows what is really used.
-    fn take(&mut self, i: usize, ticket: Ticket, writer: usize, reader: usize) {
+    /// Asks an engine for a reservation; the engine knows its real use.
+    fn take(&mut self, i: usize, ticket: Ticket, decode_engine: usize, prefill_engine: usize) {
         let need = reserve(self.requests[i].prompt);
         let used: u64 = self
             .requests
             .iter()
-            .filter(|r| r.writer == writer && !matches!(r.state, State::Waiting(_) | State::Over))
+            .filter(|r| {
+                r.decode_engine == decode_engine
+                    && !matches!(r.state, State::Waiting(_) | State::Done)
+            })
             .map(|r| reserve(r.prompt).reserved())
             .sum();
-        let id = self.servers[writer].id.clone();
+        let id = self.servers[decode_engine].id.clone();
         let (entry, prompt) = (self.requests[i].entry, self.requests[i].prompt);
         let now = self.now;
         if used + need.reserved() > self.spec.tokens {
             self.entries[entry].engines.full(now, &id);
             return;
         }
-        let begin = self.free_at.get(&reader).copied().unwrap_or(now).max(now);
-        let until = begin.after(Duration::from_secs_f64(prompt as f64 / FIRST_RATE));
-        self.free_at.insert(reader, until);
-        let reader_id = self.servers[reader].id.clone();
+        let begin = self.free_at.get(&prefill_engine).copied().unwrap_or(now).max(now);
+        let until = begin.after(Duration::from_secs_f64(prompt as f64 / INITIAL_RATE));
+        self.free_at.insert(prefill_engine, until);
+        let prefill_id = self.servers[prefill_engine].id.clone();
         let e = &mut self.entries[entry].engines;
         e.leave(ticket);
         e.placed(&id, need);
-        e.reading(&reader_id, prompt);
-        self.requests[i].writer = writer;
-        self.requests[i].state = State::Reading { engine: reader, until };
+        e.reading(&prefill_id, prompt);
+        self.requests[i].decode_engine = decode_engine;
+        self.requests[i].state = State::Prefill { engine: prefill_engine, until };
     }
 
     fn read(&mut self, i: usize, engine: usize) {
         let id = self.servers[engine].id.clone();
-        let (entry, prompt, came, output) = {
+        let (entry, prompt, arrived, output) = {
             let r = &self.requests[i];
-            (r.entry, r.prompt, r.came, r.output)
+            (r.entry, r.prompt, r.arrived, r.output)
         };
         self.entries[entry].engines.read(&id, prompt);
-        let first = self.now.after(FIRST_EVENT / 2).since(came);
-        if first > PATIENCE {
-            self.got.vain += 1;
-            self.got.left += 1;
+        let first = self.now.after(FIRST_EVENT / 2).since(arrived);
+        if first > CALLER_TIMEOUT {
+            self.outcome.wasted += 1;
+            self.outcome.left += 1;
             return self.end(i, false);
         }
         let in_time = first <= GOAL;
         match in_time {
-            true => self.got.in_time += 1,
-            false => self.got.late += 1,
+            true => self.outcome.in_time += 1,
+            false => self.outcome.late += 1,
         }
-        self.got.earned += size_worth(prompt, output) * if in_time { 1.0 } else { 0.2 };
-        self.got.long_in_time += u32::from(in_time && output > LONG);
+        self.outcome.value_served += size_value(prompt, output) * if in_time { 1.0 } else { 0.2 };
+        self.outcome.long_in_time += u32::from(in_time && output > LONG);
         let until = self.now.after(Duration::from_secs_f64(output as f64 * TOKEN));
-        self.requests[i].state = State::Writing { until };
+        self.requests[i].state = State::Decoding { until };
     }
 
     fn end(&mut self, i: usize, whole: bool) {
         let r = &mut self.requests[i];
-        r.state = State::Over;
-        let id = self.servers[r.writer].id.clone();
+        r.state = State::Done;
+        let id = self.servers[r.decode_engine].id.clone();
         let tokens = reserve(r.prompt);
         self.entries[r.entry].engines.freed(self.now, &id, tokens, whole);
     }
 
-    fn tell(&mut self) {
+    fn exchange_reports(&mut self) {
         let shares: Vec<Share> = self
             .entries
             .iter()
--- a/crates/router/tests/memory.rs
+++ b/crates/router/tests/memory.rs
@@ -1,5 +1,6 @@
-//! The heaviest seconds for engines' memory, played on two very different customers: answers of unknown
-//! length grow while they are written, and an engine that runs out throws its newest answer away.
+//! Simulation of the heaviest load on the engines' memory, for two very different customers:
+//! answers of unknown length grow while they are generated, and an engine that runs out of memory
+//! preempts its newest answer.
 
 #[path = "support/fleet.rs"]
 mod fleet;
@@ -9,24 +10,24 @@
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Server, ServerId, Stage};
 use ebonyloft_router::engines::{Advice, Engines, Need, View};
-use ebonyloft_router::forecast::{AHEAD, MARGIN, Profile};
-use ebonyloft_router::growth::{Growth, Lengths};
+use ebonyloft_router::forecast::{MARGIN_SIGMAS, POINTS, Profile};
+use ebonyloft_router::growth::{AnswerLengths, Growth};
 use ebonyloft_router::share::Work;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 use self::fleet::{engine, server};
 
-/// A customer's answers and engines.
+/// The answers and engines of one customer.
 #[derive(Clone, Copy)]
 struct Customer {
     memory: u64,
     prompt: f64,
     output: f64,
     most: u64,
-    /// Seconds of one token.
+    /// Seconds per token.
     token: f64,
-    /// Requests a second that seven engines are played with.
+    /// Requests a second for seven engines.
     rate: f64,
 }
 
@@ -50,19 +51,19 @@
 const ENGINES: usize = 7;
 const STEP: Duration = Duration::from_millis(10);
 
-/// How much is counted ahead.
+/// How much memory is counted for an answer.
 #[derive(Clone, Copy, PartialEq)]
 enum Policy {
-    /// 500 tokens of each answer, whatever the customer.
+    /// 500 tokens beyond the current length, for every customer.
     Fixed,
-    /// What was learned of the lengths.
+    /// The forecast from learned lengths.
     Forecast,
 }
 
 #[derive(Debug, Default)]
-struct Got {
+struct Outcome {
     asked: u32,
-    whole: u32,
+    complete: u32,
     preempted: u32,
     refused: u32,
 }
@@ -71,22 +72,22 @@
     engine: usize,
     prompt: u64,
     length: f64,
-    made: f64,
+    generated: f64,
     hint: u64,
     growth: Growth,
     memory: Profile,
-    broken: bool,
+    was_preempted: bool,
 }
 
 impl Answer {
     fn used(&self) -> u64 {
-        self.prompt + self.made as u64
+        self.prompt + self.generated as u64
     }
 
     fn counted(&self, policy: Policy) -> Profile {
         match policy {
-            Policy::Fixed => Profile::flat(self.used() + 500),
-            Policy::Forecast => self.growth.profile(self.prompt, self.made as u64),
+            Policy::Fixed => Profile::constant(self.used() + 500),
+            Policy::Forecast => self.growth.profile(self.prompt, self.generated as u64),
         }
     }
 }
@@ -95,69 +96,69 @@
     (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0
 }
 
-fn around(rng: &mut ChaCha8Rng, mean: f64, sigma: f64) -> f64 {
+fn log_normal(rng: &mut ChaCha8Rng, mean: f64, sigma: f64) -> f64 {
     (mean.ln() - sigma * sigma / 2.0 + sigma * normal(rng)).exp()
 }
 
-struct World {
+struct Simulation {
     customer: Customer,
     policy: Policy,
     rng: ChaCha8Rng,
     engines: Engines,
     servers: Vec<Server>,
-    lengths: Lengths,
+    lengths: AnswerLengths,
     answers: Vec<Answer>,
-    got: Got,
+    outcome: Outcome,
 }
 
-impl World {
+impl Simulation {
     fn new(customer: Customer, policy: Policy, seed: u64) -> Self {
-        World {
+        Simulation {
             customer,
             policy,
             rng: ChaCha8Rng::seed_from_u64(seed),
             engines: Engines::default(),
             servers: (0..ENGINES).map(|i| server(i, 64, Some(Stage::Decode))).collect(),
-            lengths: Lengths::default(),
+            lengths: AnswerLengths::default(),
             answers: Vec::new(),
-            got: Got::default(),
+            outcome: Outcome::default(),
         }
     }
 
-    /// One step; `counts` once what was learned has settled.
+    /// Runs one step; `counts` once the learned lengths have settled.
     fn step(&mut self, now: Timestamp, counts: bool) {
         if self.rng.random::<f64>() < self.customer.rate * STEP.as_secs_f64() {
             self.arrive(now, counts);
         }
         let tokens = STEP.as_secs_f64() / self.customer.token;
         for a in &mut self.answers {
-            a.made += tokens;
+            a.generated += tokens;
             let after = a.counted(self.policy);
             self.engines.grown(&self.servers[a.engine].id, a.memory, after);
             a.memory = after;
         }
         self.end(now, counts);
-        self.run_out(counts);
+        self.preempt(counts);
     }
 
     fn arrive(&mut self, now: Timestamp, counts: bool) {
         let Customer { prompt, output, most, .. } = self.customer;
-        let prompt = around(&mut self.rng, prompt, 0.5) as u64;
-        let length = around(&mut self.rng, output, 0.5).clamp(12.0, most as f64);
+        let prompt = log_normal(&mut self.rng, prompt, 0.5) as u64;
+        let length = log_normal(&mut self.rng, output, 0.5).clamp(12.0, most as f64);
         let hint = (length * (0.5 * normal(&mut self.rng)).exp()) as u64;
         let growth = self.lengths.expect(most, Some(hint));
         let mut answer = Answer {
             engine: 0,
             prompt,
             length,
-            made: 0.0,
+            generated: 0.0,
             hint,
             growth,
             memory: Profile::default(),
-            broken: false,
+            was_preempted: false,
         };
         answer.memory = answer.counted(self.policy);
-        self.got.asked += u32::from(counts);
+        self.outcome.asked += u32::from(counts);
         let need = Need {
             memory: answer.memory,
             first_by: now.after(Duration::from_millis(900)),
@@ -174,98 +175,101 @@
             self.engines.advise(now, ticket, &view, self.servers.iter(), none, || rng.random());
         self.engines.leave(ticket);
         let Advice::Ask(id) = advice else {
-            self.got.refused += u32::from(counts);
+            self.outcome.refused += u32::from(counts);
             return;
         };
-        answer.engine = self.servers.iter().position(|s| s.id == id).expect("it is of the list");
+        answer.engine = self.servers.iter().position(|s| s.id == id).expect("the engine is listed");
         self.engines.placed(&id, answer.memory);
         self.answers.push(answer);
     }
 
     fn end(&mut self, now: Timestamp, counts: bool) {
-        let (over, go_on): (Vec<Answer>, Vec<Answer>) =
-            self.answers.drain(..).partition(|a| a.made >= a.length);
-        self.answers = go_on;
-        for a in over {
+        let (ended, running): (Vec<Answer>, Vec<Answer>) =
+            self.answers.drain(..).partition(|a| a.generated >= a.length);
+        self.answers = running;
+        for a in ended {
             self.engines.freed(now, &self.servers[a.engine].id, a.memory, true);
             self.lengths.observe(self.customer.most, Some(a.hint), a.length as u64);
-            self.got.whole += u32::from(counts && !a.broken);
+            self.outcome.complete += u32::from(counts && !a.was_preempted);
         }
     }
 
-    /// An engine out of memory throws its newest answer away, which begins anew.
-    fn run_out(&mut self, counts: bool) {
+    /// An engine out of memory preempts its newest answer, which starts again.
+    fn preempt(&mut self, counts: bool) {
         for engine in 0..ENGINES {
             let used = |all: &[Answer]| -> u64 {
                 all.iter().filter(|a| a.engine == engine).map(Answer::used).sum()
             };
             while used(&self.answers) > self.customer.memory {
-                let here = self.answers.iter_mut().filter(|a| a.engine == engine && a.made > 0.0);
-                let Some(newest) = here.min_by(|a, b| a.made.total_cmp(&b.made)) else {
+                let here =
+                    self.answers.iter_mut().filter(|a| a.engine == engine && a.generated > 0.0);
+                let Some(newest) = here.min_by(|a, b| a.generated.total_cmp(&b.generated)) else {
                     break;
                 };
-                // Its memory is free until it was read anew; it is late for good.
-                newest.made = -500.0;
-                newest.broken = true;
-                self.got.preempted += u32::from(counts);
+                // Its memory is free until its prompt was processed again; it counts as late from
+                // now on.
+                newest.generated = -500.0;
+                newest.was_preempted = true;
+                self.outcome.preempted += u32::from(counts);
             }
         }
     }
 }
 
-/// Plays a minute, of which the second half counts, with six seeds.
-fn play(customer: Customer, policy: Policy) -> Got {
-    let mut sum = Got::default();
+/// Simulates a minute, of which the second half counts, with six seeds.
+fn simulate(customer: Customer, policy: Policy) -> Outcome {
+    let mut sum = Outcome::default();
     for seed in 0..6 {
-        let mut world = World::new(customer, policy, seed);
+        let mut simulation = Simulation::new(customer, policy, seed);
         let mut now = Timestamp::from_millis(10_000);
         for step in 0..6_000 {
             now = now.after(STEP);
-            world.step(now, step >= 3_000);
+            simulation.step(now, step >= 3_000);
         }
-        sum.asked += world.got.asked;
-        sum.whole += world.got.whole;
-        sum.preempted += world.got.preempted;
-        sum.refused += world.got.refused;
+        sum.asked += simulation.outcome.asked;
+        sum.complete += simulation.outcome.complete;
+        sum.preempted += simulation.outcome.preempted;
+        sum.refused += simulation.outcome.refused;
     }
     sum
 }
 
-fn share(part: u32, got: &Got) -> f64 {
-    f64::from(part) / f64::from(got.asked)
+fn fraction(part: u32, outcome: &Outcome) -> f64 {
+    f64::from(part) / f64::from(outcome.asked)
 }
 
-/// Of 100 callers of the long answers, with 500 tokens counted ahead and with the forecast: thrown away
-/// 21.6 and 0.2, answered without a break 72.1 and 85.0 (six seeds).
+/// Of 100 callers with long answers, 21.6 are preempted with 500 tokens counted ahead and 0.2 with
+/// the forecast; 72.1 and 85.0 are answered without preemption (six seeds).
 #[test]
-fn long_answers_are_not_thrown_away_for_new_ones() {
-    let (before, after) = (play(LONG, Policy::Fixed), play(LONG, Policy::Forecast));
-    assert!(share(before.preempted, &before) > 0.2, "{before:?}");
-    assert!(share(after.preempted, &after) < 0.06, "{after:?}");
+fn long_answers_are_not_preempted_for_new_ones() {
+    let (before, after) = (simulate(LONG, Policy::Fixed), simulate(LONG, Policy::Forecast));
+    assert!(fraction(before.preempted, &before) > 0.2, "{before:?}");
+    assert!(fraction(after.preempted, &after) < 0.06, "{after:?}");
     assert!(
-        share(after.whole, &after) > share(before.whole, &before) + 0.1,
+        fraction(after.complete, &after) > fraction(before.complete, &before) + 0.1,
         "{before:?} {after:?}"
     );
 }
 
-/// The customer on which the 500 tokens were measured loses little: 80.8 and 79.3 of 100 are answered.
+/// The customer for which the 500 tokens were measured loses little: 80.8 of 100 are answered with
+/// them and 79.3 with the forecast.
 #[test]
-fn short_answers_are_served_as_with_what_was_measured_on_them() {
-    let (before, after) = (play(SHORT, Policy::Fixed), play(SHORT, Policy::Forecast));
+fn short_answers_are_served_as_well_as_with_the_fixed_margin() {
+    let (before, after) = (simulate(SHORT, Policy::Fixed), simulate(SHORT, Policy::Forecast));
     assert!(
-        share(after.whole, &after) > share(before.whole, &before) - 0.03,
+        fraction(after.complete, &after) > fraction(before.complete, &before) - 0.03,
         "{before:?} {after:?}"
     );
-    assert!(share(after.preempted, &after) < 0.06, "{after:?}");
+    assert!(fraction(after.preempted, &after) < 0.06, "{after:?}");
 }
 
 #[test]
 fn lengths_are_learned_within_some_dozens_of_answers() {
     for (most, mean, sigma) in [(8_320, 4_544.0, 0.5), (2_040, 864.0, 0.6), (400, 60.0, 0.2)] {
         let mut rng = ChaCha8Rng::seed_from_u64(7);
-        let mut lengths = Lengths::default();
+        let mut lengths = AnswerLengths::default();
         for _ in 0..60 {
-            let length = around(&mut rng, mean, sigma).clamp(1.0, most as f64);
+            let length = log_normal(&mut rng, mean, sigma).clamp(1.0, most as f64);
             lengths.observe(most, None, length as u64);
         }
         let ratio = lengths.expect(most, None).length() / mean;
@@ -273,14 +277,14 @@
     }
 }
 
-/// A good estimate is believed, a useless one is not.
+/// A good estimate counts, a useless one does not.
 #[test]
-fn estimates_count_as_much_as_they_were_worth() {
+fn estimates_count_by_their_accuracy() {
     let expected = |error: f64, hint: u64| {
         let mut rng = ChaCha8Rng::seed_from_u64(3);
-        let mut lengths = Lengths::default();
+        let mut lengths = AnswerLengths::default();
         for _ in 0..300 {
-            let length = around(&mut rng, 900.0, 0.6).clamp(1.0, 2_040.0);
+            let length = log_normal(&mut rng, 900.0, 0.6).clamp(1.0, 2_040.0);
             let hint = (length * (error * normal(&mut rng)).exp()) as u64;
             lengths.observe(2_040, Some(hint), length as u64);
         }
@@ -291,17 +295,17 @@
 }
 
 #[test]
-fn a_forecast_leaves_out_what_will_have_ended() {
-    let growth = Lengths::default().expect(2_040, Some(700));
+fn a_forecast_leaves_out_answers_that_will_have_ended() {
+    let growth = AnswerLengths::default().expect(2_040, Some(700));
     let new = growth.profile(3_200, 0);
     assert_eq!(new.now(), 3_200);
     assert!(new.peak() > 3_400 && new.peak() < 3_200 + 2_040, "{new:?}");
-    // Beyond the longest output nothing is left.
-    let alone = Profile::flat(0).plus(new);
-    assert!(alone.room(10_000, 0.0) > alone.room(10_000, MARGIN));
+    // Answers that have reached the longest output no longer count.
+    let alone = Profile::constant(0).plus(new);
+    assert!(alone.room(10_000, 0.0) > alone.room(10_000, MARGIN_SIGMAS));
     assert_eq!(new.minus(new), Profile::default());
-    // An answer that was long overdue is expected to end soon, and still counts now.
+    // An answer that is long overdue is expected to end soon, but still counts now.
     let overdue = growth.profile(3_200, 2_000);
     assert_eq!(overdue.now(), 5_200);
-    assert!(overdue.peak() <= 5_200 + AHEAD[1], "{overdue:?}");
+    assert!(overdue.peak() <= 5_200 + POINTS[1], "{overdue:?}");
 }
--- a/crates/router/tests/pulls.rs
+++ b/crates/router/tests/pulls.rs
@@ -1,4 +1,4 @@
-//! What is fetched from which peer: each part by itself, from one peer at a time.
+//! Fetches from peers: each kind by itself, from one peer at a time.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn lists_are_fetched_while_a_configuration_is_on_its_way() {
+fn lists_are_fetched_while_a_configuration_is_being_fetched() {
     let mut pulls = Pulls::default();
     assert!(pulls.begin(at(0), Part::Config, peer(1)));
     assert!(pulls.begin(at(1), Part::Lists, peer(1)));
@@ -45,9 +45,9 @@
     assert!(pulls.begin(at(151), Part::Lists, peer(1)));
 }
 
-/// Who is told no asks another peer, but not each of dozens within a moment.
+/// After a peer had nothing newer another one is asked, but not dozens within a moment.
 #[test]
-fn a_peer_with_nothing_to_give_is_followed_by_a_rest() {
+fn a_peer_with_nothing_newer_is_followed_by_a_backoff() {
     let mut pulls = Pulls::default();
     assert!(pulls.begin(at(0), Part::Config, peer(1)));
     pulls.end(at(2), Part::Config, false);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_call_asks_for_its_part_only() {
+fn a_call_requests_one_kind_only() {
     let own = Versions { config: 3, roster: 40, fleet: 7 };
     let theirs = Versions { config: 4, roster: 41, fleet: 7 };
     for (part, other) in [(Part::Config, Part::Lists), (Part::Lists, Part::Config)] {
@@ -67,19 +67,19 @@
     assert!(!theirs.lacks(Part::Lists, own));
 }
 
-/// Who hears the store itself waits for its own answer, for half a second and not for a watch to run out.
+/// A gateway that reaches the store waits half a second for its own update, not until a watch ends.
 #[test]
-fn who_stays_behind_its_peers_asks_them() {
+fn a_gateway_that_stays_behind_its_peers_fetches_from_them() {
     let mut pulls = Pulls::default();
     let own = Versions { config: 3, roster: 40, fleet: 7 };
     let theirs = Versions { roster: 41, ..own };
     assert!(!pulls.is_behind(at(0), own, own));
     assert!(!pulls.is_behind(at(1_000), own, theirs));
-    assert!(!pulls.is_behind(at(1_200), own, own), "another peer knows no more");
+    assert!(!pulls.is_behind(at(1_200), own, own), "another peer has nothing newer");
     let own = Versions { config: 4, ..own };
     assert!(!pulls.is_behind(at(1_499), own, theirs));
     assert!(pulls.is_behind(at(1_500), own, theirs));
-    assert!(!pulls.is_behind(at(1_510), theirs, theirs), "it has heard");
+    assert!(!pulls.is_behind(at(1_510), theirs, theirs), "it is up to date");
     let newer = Versions { roster: 42, ..own };
     assert!(!pulls.is_behind(at(1_600), theirs, newer));
     assert!(pulls.is_behind(at(2_100), theirs, newer));
--- a/crates/router/tests/roster.rs
+++ b/crates/router/tests/roster.rs
@@ -1,8 +1,9 @@
-//! The list of backend servers: revisions never go back, and what a store outage hides is kept.
+//! Registry of the backend servers: revisions never go back, and registrations missed in a store
+//! outage are kept.
 
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Server, ServerId, Stage};
-use ebonyloft_router::freshness::{Freshness, RETURN_TIME};
+use ebonyloft_router::freshness::{Freshness, REREGISTRATION_TIME};
 use ebonyloft_router::roster::{Change, Effect, Entry, Roster};
 use proptest::prelude::*;
 
@@ -26,7 +27,7 @@
     }
 }
 
-fn there(n: u32, revision: u64) -> Change {
+fn registered(n: u32, revision: u64) -> Change {
     Change { name: name(n), entry: Entry::Server(server(n, false)), revision }
 }
 
@@ -34,17 +35,17 @@
     Change { name: name(n), entry: Entry::Server(server(n, true)), revision }
 }
 
-fn gone(n: u32, revision: u64) -> Change {
+fn removed(n: u32, revision: u64) -> Change {
     Change { name: name(n), entry: Entry::Removed, revision }
 }
 
-/// An entry that another writer left there.
+/// An invalid entry written by another program.
 fn wrong(n: u32, revision: u64) -> Change {
     Change { name: name(n), entry: Entry::Wrong, revision }
 }
 
-/// The same name in another life.
-fn reborn(n: u32, revision: u64) -> Change {
+/// A new incarnation under the same name.
+fn restarted(n: u32, revision: u64) -> Change {
     let server = Server { id: ServerId::new(name(n), 9), ..server(n, false) };
     Change { name: name(n), entry: Entry::Server(server), revision }
 }
@@ -53,168 +54,169 @@
     roster.ready("llm").count()
 }
 
-/// Its own word outranks the store's, which may be silent, late or behind.
+/// A server's own announcement outranks the store, which may be unreachable or behind.
 #[test]
-fn a_server_that_said_that_it_leaves_gets_no_work_whatever_the_store_says() {
+fn a_server_that_announced_leaving_gets_no_requests_whatever_the_store_says() {
     let mut roster = Roster::default();
-    roster.apply(there(1, 5), true);
-    roster.apply(there(2, 6), true);
+    roster.apply(registered(1, 5), true);
+    roster.apply(registered(2, 6), true);
     assert!(roster.hear_leaving(&id(1)));
-    assert!(!roster.hear_leaving(&id(1)), "no news");
+    assert!(!roster.hear_leaving(&id(1)), "already known");
     assert_eq!(ready(&roster), 1);
     assert!(roster.has_left(&name(1)));
     assert_eq!(roster.said().collect::<Vec<_>>(), [&id(1)]);
-    // A heartbeat from before, and a whole list.
-    roster.apply(there(1, 7), true);
-    roster.replace(vec![there(1, 8), there(2, 8)], 9, true);
+    // An older heartbeat, and a complete list.
+    roster.apply(registered(1, 7), true);
+    roster.replace(vec![registered(1, 8), registered(2, 8)], 9, true);
     assert_eq!(ready(&roster), 1);
     roster.apply(leaving(1, 10), true);
-    assert_eq!(roster.said().count(), 0, "the store says it too");
+    assert_eq!(roster.said().count(), 0, "the store reports it too");
     assert_eq!(ready(&roster), 1);
 }
 
 #[test]
-fn what_a_life_said_ends_with_it() {
+fn an_announcement_ends_with_its_incarnation() {
     let mut roster = Roster::default();
-    roster.apply(there(1, 5), true);
+    roster.apply(registered(1, 5), true);
     roster.hear_leaving(&id(1));
-    roster.apply(reborn(1, 6), true);
+    roster.apply(restarted(1, 6), true);
     assert_eq!(ready(&roster), 1);
     assert!(!roster.has_left(&name(1)));
-    // The word of the life before comes late, from a peer.
+    // The announcement of the old incarnation arrives late, from a peer.
     roster.hear_leaving(&id(1));
     assert_eq!(ready(&roster), 1);
-    roster.apply(gone(1, 7), true);
-    assert!(!roster.hear_leaving(&id(1)), "it is known to be gone");
+    roster.apply(removed(1, 7), true);
+    assert!(!roster.hear_leaving(&id(1)), "the server is known to be gone");
 }
 
-/// A peer tells of it before the store tells that there is such a server.
+/// A peer may report that a server is leaving before the store reports the server.
 #[test]
-fn a_word_may_come_before_the_registration() {
+fn an_announcement_may_come_before_the_registration() {
     let mut roster = Roster::default();
     assert!(roster.hear_leaving(&id(1)));
     assert!(roster.has_left(&name(1)));
     assert_eq!(roster.said().count(), 0);
-    roster.apply(there(1, 5), true);
+    roster.apply(registered(1, 5), true);
     assert_eq!(ready(&roster), 0);
     for n in 10..10_000 {
         roster.hear_leaving(&id(n));
     }
-    assert!(roster.has_left(&name(1)), "of one that is registered it is not forgotten");
+    assert!(roster.has_left(&name(1)), "kept for a registered server");
 }
 
 #[test]
-fn a_leaving_server_gets_no_work_from_the_moment_it_is_heard() {
+fn a_leaving_server_gets_no_requests_at_once() {
     let mut roster = Roster::default();
-    assert_eq!(roster.apply(there(1, 5), true), Effect::Joined);
+    assert_eq!(roster.apply(registered(1, 5), true), Effect::Joined);
     assert_eq!(roster.apply(leaving(1, 6), false), Effect::Leaving);
     assert_eq!(ready(&roster), 0);
 }
 
-/// Asked just before a request is sent that has waited; one that was never heard of may be new elsewhere.
+/// This is checked just before a request that has waited is sent; an unknown server may be new
+/// elsewhere.
 #[test]
-fn who_left_is_known_by_name() {
+fn servers_that_left_are_known_by_name() {
     let mut roster = Roster::default();
-    roster.replace(vec![there(1, 1), leaving(2, 2), there(3, 3)], 3, true);
-    roster.apply(gone(3, 4), true);
+    roster.replace(vec![registered(1, 1), leaving(2, 2), registered(3, 3)], 3, true);
+    roster.apply(removed(3, 4), true);
     let left: Vec<bool> = (1..=4).map(|n| roster.has_left(&name(n))).collect();
     assert_eq!(left, [false, true, true, false]);
-    roster.apply(there(3, 5), true);
+    roster.apply(registered(3, 5), true);
     assert!(!roster.has_left(&name(3)));
 }
 
 #[test]
-fn an_older_revision_changes_nothing() {
+fn an_older_revision_is_ignored() {
     let mut roster = Roster::default();
     roster.apply(leaving(1, 6), true);
-    assert_eq!(roster.apply(there(1, 5), true), Effect::Stale);
+    assert_eq!(roster.apply(registered(1, 5), true), Effect::Stale);
     assert_eq!(ready(&roster), 0);
-    roster.apply(gone(1, 7), true);
-    assert_eq!(roster.apply(there(1, 6), true), Effect::Stale);
+    roster.apply(removed(1, 7), true);
+    assert_eq!(roster.apply(registered(1, 6), true), Effect::Stale);
     assert!(roster.is_empty());
 }
 
 #[test]
-fn what_vanishes_while_the_store_is_away_is_kept_until_it_settles() {
+fn a_server_that_vanishes_in_a_store_outage_is_kept_until_the_store_is_trusted() {
     let mut roster = Roster::default();
-    roster.replace(vec![there(1, 1), there(2, 2)], 2, true);
-    assert_eq!(roster.apply(gone(1, 3), false), Effect::Unheard);
+    roster.replace(vec![registered(1, 1), registered(2, 2)], 2, true);
+    assert_eq!(roster.apply(removed(1, 3), false), Effect::Unheard);
     assert_eq!(ready(&roster), 2);
-    // One registers anew, the other does not.
-    roster.apply(gone(2, 4), false);
-    assert_eq!(roster.apply(there(2, 5), false), Effect::Changed);
+    // One server registers again, the other does not.
+    roster.apply(removed(2, 4), false);
+    assert_eq!(roster.apply(registered(2, 5), false), Effect::Changed);
     assert_eq!(roster.settle(), vec![name(1)]);
     assert_eq!(ready(&roster), 1);
 }
 
 #[test]
-fn a_server_that_was_leaving_is_gone_even_while_the_store_is_away() {
+fn a_leaving_server_is_removed_even_in_a_store_outage() {
     let mut roster = Roster::default();
     roster.apply(leaving(1, 1), true);
-    assert_eq!(roster.apply(gone(1, 2), false), Effect::Gone);
+    assert_eq!(roster.apply(removed(1, 2), false), Effect::Gone);
 }
 
 #[test]
-fn a_new_list_removes_what_it_does_not_name() {
+fn a_new_list_removes_servers_that_are_not_in_it() {
     let mut roster = Roster::default();
-    roster.replace(vec![there(1, 1), there(2, 2)], 2, true);
-    let effects = roster.replace(vec![there(2, 2), there(3, 9)], 10, true);
+    roster.replace(vec![registered(1, 1), registered(2, 2)], 2, true);
+    let effects = roster.replace(vec![registered(2, 2), registered(3, 9)], 10, true);
     assert!(effects.contains(&(name(1), Effect::Gone)));
     assert!(effects.contains(&(name(3), Effect::Joined)));
     assert_eq!(ready(&roster), 2);
 }
 
 #[test]
-fn a_list_does_not_remove_what_registered_after_it() {
+fn a_list_does_not_remove_servers_that_registered_after_it() {
     let mut roster = Roster::default();
-    roster.apply(there(7, 20), true);
-    roster.replace(vec![there(1, 1)], 10, true);
+    roster.apply(registered(7, 20), true);
+    roster.replace(vec![registered(1, 1)], 10, true);
     assert_eq!(ready(&roster), 2);
 }
 
 #[test]
-fn another_life_at_the_address_ends_the_one_before() {
+fn a_new_incarnation_at_the_address_replaces_the_old_one() {
     let mut roster = Roster::default();
-    roster.apply(there(1, 1), true);
+    roster.apply(registered(1, 1), true);
     assert!(roster.replaced(&id(1)));
-    assert_eq!(roster.apply(there(1, 1), true), Effect::Stale);
+    assert_eq!(roster.apply(registered(1, 1), true), Effect::Stale);
     assert!(roster.is_empty());
 }
 
 #[test]
-fn a_name_in_another_life_is_another_server() {
+fn a_new_incarnation_under_a_name_is_another_server() {
     let mut roster = Roster::default();
-    roster.apply(there(1, 1), true);
-    assert_eq!(roster.apply(reborn(1, 2), true), Effect::Reborn);
+    roster.apply(registered(1, 1), true);
+    assert_eq!(roster.apply(restarted(1, 2), true), Effect::Reborn);
     assert_eq!(roster.get(&id(1)), None);
     assert!(roster.get(&ServerId::new(name(1), 9)).is_some());
-    // News of the life before, and an answer meant for it, change nothing.
-    assert_eq!(roster.apply(there(1, 1), true), Effect::Stale);
+    // A change of the old incarnation, and an answer meant for it, have no effect.
+    assert_eq!(roster.apply(registered(1, 1), true), Effect::Stale);
     assert!(!roster.replaced(&id(1)));
     assert_eq!(ready(&roster), 1);
 }
 
 #[test]
-fn a_wrong_entry_names_nobody_and_the_others_hold() {
+fn an_invalid_entry_does_not_affect_the_others() {
     let mut roster = Roster::default();
-    roster.replace(vec![there(1, 1), wrong(2, 2), there(3, 3)], 3, true);
+    roster.replace(vec![registered(1, 1), wrong(2, 2), registered(3, 3)], 3, true);
     assert_eq!(ready(&roster), 2);
-    // A good one turns bad while the store can't be believed, and good again.
+    // A valid entry becomes invalid while the store is not trusted, and valid again.
     assert_eq!(roster.apply(wrong(1, 4), false), Effect::Wrong);
     assert_eq!(ready(&roster), 1);
     assert!(roster.settle().is_empty());
-    assert_eq!(roster.apply(there(1, 5), true), Effect::Joined);
-    roster.replace(vec![there(1, 5), wrong(3, 6)], 6, false);
+    assert_eq!(roster.apply(registered(1, 5), true), Effect::Joined);
+    roster.replace(vec![registered(1, 5), wrong(3, 6)], 6, false);
     assert_eq!(ready(&roster), 1);
-    // A peer passes on what it uses: the wrong ones are missing from it.
+    // A gateway passes on what it uses, so the invalid entries are left out.
     let mut peer = Roster::default();
-    peer.replace(vec![there(1, 5), there(3, 3)], 3, true);
+    peer.replace(vec![registered(1, 5), registered(3, 3)], 3, true);
     peer.replace(roster.changes(), roster.revision(), true);
     assert_eq!(ready(&peer), 1);
 }
 
 #[test]
-fn the_store_is_believed_some_time_after_its_return() {
+fn the_store_is_trusted_some_time_after_its_return() {
     let mut fresh = Freshness::default();
     let start = Timestamp::from_millis(1_000);
     fresh.on_answer(start, start);
@@ -225,11 +227,11 @@
     let back = Timestamp::from_millis(60_000);
     assert!(fresh.on_answer(back, back));
     assert!(!fresh.settled(back));
-    assert!(fresh.settled(back.after(RETURN_TIME)));
+    assert!(fresh.settled(back.after(REREGISTRATION_TIME)));
 }
 
 proptest! {
-    /// Changes may arrive in any order and more than once: the last revision of each server decides.
+    /// Changes may arrive in any order and more than once: the last revision of each server counts.
     #[test]
     fn the_order_of_arrival_does_not_matter(
         order in Just((1_u64..40).collect::<Vec<_>>()).prop_shuffle(),
@@ -239,11 +241,11 @@
         let change = |r: u64| {
             let n = (r % 4) as u32;
             match kinds[r as usize] {
-                0 => there(n, r),
+                0 => registered(n, r),
                 1 => leaving(n, r),
-                2 => reborn(n, r),
+                2 => restarted(n, r),
                 3 => wrong(n, r),
-                _ => gone(n, r),
+                _ => removed(n, r),
             }
         };
         let mut roster = Roster::default();
@@ -254,7 +256,7 @@
             }
         }
         for n in 0..4_u32 {
-            let last = (1..40).rev().find(|r| (r % 4) as u32 == n).expect("each has one");
+            let last = (1..40).rev().find(|r| (r % 4) as u32 == n).expect("each server has a change");
             let want = match change(last).entry {
                 Entry::Server(server) => Some(server),
                 Entry::Removed | Entry::Wrong => None,
@@ -264,17 +266,18 @@
     }
 }
 
-/// Another process that knows everything up to a revision takes what changed since, and knows the same.
+/// A gateway that knows everything up to a revision and applies the changes since has the same
+/// registry.
 #[test]
-fn what_changed_since_a_revision_brings_another_process_up_to_date() {
+fn changes_since_a_revision_bring_another_gateway_up_to_date() {
     let mut roster = Roster::default();
-    roster.replace(vec![there(1, 1), there(2, 2), there(3, 3)], 3, true);
+    roster.replace(vec![registered(1, 1), registered(2, 2), registered(3, 3)], 3, true);
     let mut peer = Roster::default();
-    assert_eq!(roster.since(0), None, "who knows nothing takes the whole list");
+    assert_eq!(roster.since(0), None, "a gateway without a list takes the complete one");
     peer.replace(roster.changes(), roster.revision(), true);
-    roster.apply(gone(1, 4), true);
+    roster.apply(removed(1, 4), true);
     roster.apply(leaving(2, 5), true);
-    roster.apply(there(4, 6), true);
+    roster.apply(registered(4, 6), true);
     roster.apply(wrong(3, 7), true);
     let changes = roster.since(3).expect("removals are remembered");
     assert_eq!(changes.len(), 4);
@@ -284,29 +287,29 @@
     assert_eq!(roster.since(7), Some(Vec::new()));
 }
 
-/// A list that is read page by page may have items newer than its revision: what changed in between is
-/// still to come, and nobody may be told that it is known.
+/// A list that is read page by page may have entries newer than its revision. The changes in
+/// between are still to come, so they must not be reported as known.
 #[test]
 fn a_list_is_known_up_to_its_own_revision_only() {
     let mut roster = Roster::default();
-    roster.replace(vec![there(1, 1), there(2, 9)], 5, true);
+    roster.replace(vec![registered(1, 1), registered(2, 9)], 5, true);
     assert_eq!(roster.revision(), 5);
-    roster.apply(gone(1, 7), true);
+    roster.apply(removed(1, 7), true);
     assert_eq!(roster.since(5).expect("remembered").len(), 2);
 }
 
-/// One that vanished while the store was away is passed on as removed: the other one judges by itself
-/// whether that means that it is gone.
+/// A registration that vanished while the store was unreachable is passed on as removed; each
+/// gateway decides for itself whether the server is gone.
 #[test]
-fn who_vanished_while_the_store_was_away_is_judged_by_each() {
+fn a_server_that_vanished_in_a_store_outage_is_passed_on_as_removed() {
     let mut roster = Roster::default();
-    roster.replace(vec![there(1, 1), there(2, 2)], 2, true);
+    roster.replace(vec![registered(1, 1), registered(2, 2)], 2, true);
     let mut peer = Roster::default();
     peer.replace(roster.changes(), 2, true);
-    assert_eq!(roster.apply(gone(1, 3), false), Effect::Unheard);
+    assert_eq!(roster.apply(removed(1, 3), false), Effect::Unheard);
     peer.catch_up(roster.since(2).expect("remembered"), 3, false);
     assert_eq!(ready(&peer), 2);
-    roster.apply(there(1, 4), true);
+    roster.apply(registered(1, 4), true);
     peer.catch_up(roster.since(3).expect("remembered"), 4, true);
     assert!(peer.settle().is_empty());
     assert_eq!(ready(&peer), 2);
--- a/crates/router/tests/share.rs
+++ b/crates/router/tests/share.rs
@@ -1,4 +1,4 @@
-//! What entries know of each other's work.
+//! Load reports: what gateways know of each other's load.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,8 +6,8 @@
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::ServerId;
 use ebonyloft_router::forecast::Profile;
-use ebonyloft_router::pack;
-use ebonyloft_router::share::{SHARE_LIFE, Share, Shares, TELL, Work, compared, pause};
+use ebonyloft_router::share::{LOAD_TIMEOUT, Share, Shares, TELL, Work, pause, sample_size};
+use ebonyloft_router::varint;
 use proptest::prelude::*;
 
 const NOW: Timestamp = Timestamp::from_millis(100_000);
@@ -17,45 +17,45 @@
 }
 
 fn share(name: &str, life: u64, seq: u64, tokens: u64) -> Share {
-    let memory = Profile::flat(tokens);
+    let memory = Profile::constant(tokens);
     let work = Work { memory, count: 1, ..Work::default() };
-    let work = BTreeMap::from([(id().short_number(), work)]);
+    let work = BTreeMap::from([(id().short_hash(), work)]);
     Share { name: name.into(), life, seq, work, ..Share::default() }
 }
 
 #[test]
-fn the_work_of_all_peers_is_summed() {
+fn the_load_of_all_peers_is_summed() {
     let mut shares = Shares::default();
     assert!(shares.hear(NOW, share("a", 1, 1, 100)));
     assert!(shares.hear(NOW, share("b", 1, 1, 30)));
     assert_eq!(
         shares.work(NOW, &id()),
-        Work { memory: Profile::flat(130), count: 2, ..Work::default() }
+        Work { memory: Profile::constant(130), count: 2, ..Work::default() }
     );
     assert_eq!(shares.live(NOW), 2);
 }
 
 #[test]
-fn a_datagram_that_was_overtaken_changes_nothing() {
+fn an_outdated_datagram_is_ignored() {
     let mut shares = Shares::default();
     shares.hear(NOW, share("a", 1, 5, 100));
     assert!(!shares.hear(NOW, share("a", 1, 4, 999)));
     assert!(!shares.hear(NOW, share("a", 1, 5, 999)));
     assert_eq!(shares.work(NOW, &id()).memory.now(), 100);
-    assert!(shares.hear(NOW, share("a", 2, 1, 7)), "a new life begins anew");
+    assert!(shares.hear(NOW, share("a", 2, 1, 7)), "a new incarnation starts over");
     assert_eq!(shares.work(NOW, &id()).memory.now(), 7);
 }
 
 #[test]
-fn the_work_of_a_silent_peer_is_forgotten() {
+fn the_load_of_a_silent_peer_is_dropped() {
     let mut shares = Shares::default();
     shares.hear(NOW, share("a", 1, 1, 100));
-    assert_eq!(shares.work(NOW.after(SHARE_LIFE), &id()).memory.now(), 0);
+    assert_eq!(shares.work(NOW.after(LOAD_TIMEOUT), &id()).memory.now(), 0);
 }
 
-/// With hundreds of entries a round takes seconds: their work must not be forgotten in between.
+/// With hundreds of gateways a round takes seconds: their load must not be dropped in between.
 #[test]
-fn a_share_outlives_the_rounds_of_a_large_fleet() {
+fn a_load_report_outlives_the_rounds_of_a_large_fleet() {
     let mut shares = Shares::default();
     for n in 0..410 {
         shares.hear(NOW, share(&format!("e{n}"), 1, 1, 10));
@@ -75,68 +75,78 @@
 }
 
 #[test]
-fn few_entries_compare_all_engines_and_many_compare_few() {
-    assert_eq!(compared(9, 4), 9);
-    assert_eq!(compared(38, 25), 7);
-    assert_eq!(compared(600, 410), 6);
-    assert_eq!(compared(8, 410), 2);
-    assert_eq!(compared(1, 25), 2);
+fn few_gateways_compare_all_engines_and_many_compare_few() {
+    assert_eq!(sample_size(9, 4), 9);
+    assert_eq!(sample_size(38, 25), 7);
+    assert_eq!(sample_size(600, 410), 6);
+    assert_eq!(sample_size(8, 410), 2);
+    assert_eq!(sample_size(1, 25), 2);
 }
 
-/// A dozen answers at an engine, as they are told.
+/// Load of seven answers at one engine.
 fn busy() -> Work {
-    let answer =
-        Profile::expect(|ahead| 5_200.0 + ahead as f64, |ahead| 1.0 / (1.0 + ahead as f64 / 900.0));
+    let answer = Profile::from_survival(
+        |ahead| 5_200.0 + ahead as f64,
+        |ahead| 1.0 / (1.0 + ahead as f64 / 900.0),
+    );
     let memory = (0..7).fold(Profile::default(), |sum, _| sum.plus(answer));
     Work { memory, count: 7, unread: 10_400, reads: 2 }
 }
 
-fn told(work: Work) -> (Work, usize) {
+fn round_trip(work: Work) -> (Work, usize) {
     let mut bytes = Vec::new();
     ciborium::into_writer(&work, &mut bytes).expect("encoded");
     (ciborium::from_reader(&bytes[..]).expect("decoded"), bytes.len())
 }
 
 #[test]
-fn work_at_an_engine_takes_few_bytes() {
-    let (_, bytes) = told(busy());
+fn the_load_at_an_engine_takes_few_bytes() {
+    let (_, bytes) = round_trip(busy());
     assert!(bytes <= 30, "{bytes}");
 }
 
 #[test]
-fn work_arrives_as_it_was_told_to_within_a_block_or_two() {
-    let (there, _) = told(busy());
-    let here = busy();
-    assert_eq!((there.count, there.unread, there.reads), (here.count, here.unread, here.reads));
-    assert!(there.memory.now().abs_diff(here.memory.now()) <= 16);
-    assert!(there.memory.peak().abs_diff(here.memory.peak()) <= 16);
+fn the_load_is_decoded_to_within_two_blocks_of_memory() {
+    let (decoded, _) = round_trip(busy());
+    let original = busy();
+    assert_eq!(
+        (decoded.count, decoded.unread, decoded.reads),
+        (original.count, original.unread, original.reads)
+    );
+    assert!(decoded.memory.now().abs_diff(original.memory.now()) <= 16);
+    assert!(decoded.memory.peak().abs_diff(original.memory.peak()) <= 16);
     let room = |work: Work| work.memory.room(43_000, 2.4);
-    assert!(room(there).abs_diff(room(here)) <= 16 + 77, "{} {}", room(there), room(here));
+    assert!(
+        room(decoded).abs_diff(room(original)) <= 16 + 77,
+        "{} {}",
+        room(decoded),
+        room(original)
+    );
 }
 
 proptest! {
     #[test]
-    fn numbers_come_back(all in prop::collection::vec(any::<u64>(), 0..9), signed in any::<i64>()) {
+    fn numbers_are_decoded_as_encoded(all in prop::collection::vec(any::<u64>(), 0..9), signed in any::<i64>()) {
         let mut bytes = Vec::new();
-        all.iter().for_each(|n| pack::number(&mut bytes, *n));
-        pack::signed(&mut bytes, signed);
+        all.iter().for_each(|n| varint::write_unsigned(&mut bytes, *n));
+        varint::write_signed(&mut bytes, signed);
         let mut left = &bytes[..];
         for n in &all {
-            prop_assert_eq!(pack::read_number(&mut left), Some(*n));
+            prop_assert_eq!(varint::read_unsigned(&mut left), Some(*n));
         }
-        prop_assert_eq!(pack::read_signed(&mut left), Some(signed));
+        prop_assert_eq!(varint::read_signed(&mut left), Some(signed));
         prop_assert!(left.is_empty());
     }
 
     #[test]
-    fn bytes_of_anybody_are_work_or_none(bytes in prop::collection::vec(any::<u8>(), 0..60)) {
+    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..60)) {
         let mut cbor = Vec::new();
         ciborium::into_writer(&serde_bytes(&bytes), &mut cbor).expect("encoded");
         let _ = ciborium::from_reader::<Work, _>(&cbor[..]);
     }
 }
 
-/// Bytes as a string of bytes.
+/// A CBOR byte string.
 fn serde_bytes(bytes: &[u8]) -> ciborium::Value {
     ciborium::Value::Bytes(bytes.to_vec())
 }
--- a/crates/router/tests/support/fleet.rs
+++ b/crates/router/tests/support/fleet.rs
@@ -1,10 +1,10 @@
-//! Backend servers and engines as the tests of decisions use them.
+//! Backend servers and engines for tests.
 
 use std::time::Duration;
 
 use ebonyloft_router::catalog::{Engine, Server, ServerId, Stage};
 
-/// The backend server `i-N`; a model engine when it has a stage.
+/// Returns the backend server `i-N`, a model engine if it has a stage.
 pub fn server(n: usize, slots: u32, stage: Option<Stage>) -> Server {
     let service = if stage.is_some() { "llm" } else { "app" };
     Server {
@@ -18,7 +18,7 @@
     }
 }
 
-/// What is known of engines with so many slots and tokens of memory.
+/// Returns the parameters of engines with this many slots and tokens of memory.
 #[allow(dead_code, reason = "tests of plain backend servers have no engines")]
 pub fn engine(slots: u32, tokens: u64) -> Engine {
     Engine {
--- a/crates/router/tests/zones.rs
+++ b/crates/router/tests/zones.rs
@@ -1,4 +1,4 @@
-//! What availability zones know of each other, and where a request goes that its own can't serve.
+//! Exchange between availability zones, and overflow of requests that their own zone can't serve.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,8 +7,8 @@
 use ebonyloft_router::fleet::{Fleet, Gateway};
 use ebonyloft_router::share::{News, Share};
 use ebonyloft_router::zones::{
-    DIGEST_LIFE, Digest, Digests, FEW, FULL_REST, Memory, Room, Scope, ZONE_FLEET, ZONE_TOKENS,
-    scope,
+    ALL_SCOPE_GATEWAYS, Digest, Digests, FULL_BACKOFF, Memory, Room, SUMMARY_LIFETIME, Scope,
+    ZONE_SCOPE_GATEWAYS, ZONE_SCOPE_TOKENS, scope,
 };
 
 const NOW: Timestamp = Timestamp::from_millis(100_000);
@@ -29,9 +29,9 @@
     }
 }
 
-/// While nobody knows who goes first all speak for their zone.
+/// Until the ranks are known, all gateways of a zone send summaries.
 #[test]
-fn one_digest_of_each_zone_is_passed_on_however_many_gateways_speak() {
+fn one_summary_of_each_zone_is_relayed_however_many_gateways_send() {
     let mut digests = Digests::default();
     for n in 0..222 {
         let name = format!("front-siracusa-ortigia-{n}");
@@ -39,16 +39,16 @@
         digests.hear(now, Digest { name, ..digest(["b", "c", "d"][n as usize % 3], 1, 500, 90) });
     }
     let now = NOW.after(SOON);
-    let passed: Vec<Digest> = digests.passed_on(now).cloned().collect();
-    let zones: Vec<&str> = passed.iter().map(|d| d.zone.as_str()).collect();
+    let relayed: Vec<Digest> = digests.passed_on(now).cloned().collect();
+    let zones: Vec<&str> = relayed.iter().map(|d| d.zone.as_str()).collect();
     assert_eq!(zones, ["b", "c", "d"]);
-    assert!(passed.iter().all(|d| d.name.ends_with(|c: char| c.is_ascii_digit()) && d.seq == 1));
-    // The latest ones.
-    assert_eq!(passed[0].name, "front-siracusa-ortigia-219");
-    assert_eq!(digests.passed_on(now.after(DIGEST_LIFE)).count(), 0);
+    assert!(relayed.iter().all(|d| d.name.ends_with(|c: char| c.is_ascii_digit()) && d.seq == 1));
+    // The latest summaries.
+    assert_eq!(relayed[0].name, "front-siracusa-ortigia-219");
+    assert_eq!(digests.passed_on(now.after(SUMMARY_LIFETIME)).count(), 0);
 }
 
-fn zone_of(digests: &Digests, now: Timestamp, tried: &[String], draw: f64) -> Option<String> {
+fn overflow_zone(digests: &Digests, now: Timestamp, tried: &[String], draw: f64) -> Option<String> {
     digests.spill(now, "llm", SOON, tried, draw).map(|d| d.zone.clone())
 }
 
@@ -63,24 +63,24 @@
 }
 
 #[test]
-fn zones_decide_for_themselves_from_a_size_on() {
-    let small = ZONE_TOKENS - 1;
+fn large_fleets_share_by_zone() {
+    let small = ZONE_SCOPE_TOKENS - 1;
     assert_eq!(scope(&fleet(4), small), Scope::All);
-    assert_eq!(scope(&fleet(ZONE_FLEET - 1), small), Scope::All);
-    assert_eq!(scope(&fleet(ZONE_FLEET), small), Scope::Zone);
+    assert_eq!(scope(&fleet(ZONE_SCOPE_GATEWAYS - 1), small), Scope::All);
+    assert_eq!(scope(&fleet(ZONE_SCOPE_GATEWAYS), small), Scope::Zone);
     assert_eq!(scope(&fleet(410), 0), Scope::Zone);
 }
 
 #[test]
-fn zones_that_hold_enough_decide_for_themselves_unless_there_are_few_gateways() {
-    let large = ZONE_TOKENS * 4;
-    assert_eq!(scope(&fleet(FEW), large), Scope::Zone);
-    assert_eq!(scope(&fleet(FEW), large - 1), Scope::All);
-    assert_eq!(scope(&fleet(FEW - 1), large), Scope::All);
+fn zones_with_enough_memory_share_by_zone_unless_there_are_few_gateways() {
+    let large = ZONE_SCOPE_TOKENS * 4;
+    assert_eq!(scope(&fleet(ALL_SCOPE_GATEWAYS), large), Scope::Zone);
+    assert_eq!(scope(&fleet(ALL_SCOPE_GATEWAYS), large - 1), Scope::All);
+    assert_eq!(scope(&fleet(ALL_SCOPE_GATEWAYS - 1), large), Scope::All);
 }
 
 #[test]
-fn engines_that_restart_at_once_do_not_change_who_shares() {
+fn a_restart_of_many_engines_does_not_change_the_scope() {
     let mut memory = Memory::default();
     memory.observe(NOW, 1_000);
     memory.observe(NOW.after(Duration::from_secs(20)), 400);
@@ -90,61 +90,62 @@
 }
 
 #[test]
-fn a_zone_with_room_and_a_reader_is_asked() {
+fn a_zone_with_free_memory_and_a_prefill_engine_is_asked() {
     let mut digests = Digests::default();
-    assert_eq!(zone_of(&digests, NOW, &[], 0.5), None);
+    assert_eq!(overflow_zone(&digests, NOW, &[], 0.5), None);
     digests.hear(NOW, digest("full", 1, 50, 0));
     digests.hear(NOW, digest("late", 1, 500, 501));
-    assert_eq!(zone_of(&digests, NOW, &[], 0.5), None);
+    assert_eq!(overflow_zone(&digests, NOW, &[], 0.5), None);
     let mut pieces = digest("pieces", 1, 500, 0);
     pieces.rooms[0].places = 0;
     digests.hear(NOW, pieces);
-    assert_eq!(zone_of(&digests, NOW, &[], 0.5), None);
+    assert_eq!(overflow_zone(&digests, NOW, &[], 0.5), None);
     digests.hear(NOW, digest("good", 1, 500, 499));
-    assert_eq!(zone_of(&digests, NOW, &[], 0.5).as_deref(), Some("good"));
-    assert_eq!(zone_of(&digests, NOW, &["good".to_owned()], 0.5), None, "it was asked");
+    assert_eq!(overflow_zone(&digests, NOW, &[], 0.5).as_deref(), Some("good"));
+    assert_eq!(overflow_zone(&digests, NOW, &["good".to_owned()], 0.5), None, "already asked");
     assert_eq!(digests.spill(NOW, "other", SOON, &[], 0.5), None);
 }
 
-/// Not everybody asks the zone that has most: its digest is a moment old.
+/// Gateways must not all ask the zone with the most room, because its summary is slightly old.
 #[test]
-fn zones_are_asked_by_the_room_that_they_have() {
+fn zones_are_asked_in_proportion_to_their_capacity() {
     let mut digests = Digests::default();
     digests.hear(NOW, digest("a", 1, 300, 0));
     digests.hear(NOW, digest("b", 1, 100, 0));
     let asked = |zone: &str| {
         let draws = (0..1_000).map(|n| f64::from(n) / 1_000.0);
-        draws.filter(|d| zone_of(&digests, NOW, &[], *d).as_deref() == Some(zone)).count()
+        draws.filter(|d| overflow_zone(&digests, NOW, &[], *d).as_deref() == Some(zone)).count()
     };
     assert!((740..=760).contains(&asked("a")), "{}", asked("a"));
     assert_eq!(asked("a") + asked("b"), 1_000);
 }
 
-/// What a digest promised is not asked for again and again.
+/// Capacity that a summary showed is not asked for again and again.
 #[test]
-fn a_zone_that_granted_nothing_is_left_alone_for_a_while() {
+fn a_zone_that_granted_nothing_is_not_asked_for_a_while() {
     let mut digests = Digests::default();
     digests.hear(NOW, digest("a", 1, 300, 0));
     digests.full(NOW, "a");
-    assert_eq!(zone_of(&digests, NOW.after(FULL_REST / 2), &[], 0.5), None);
-    assert!(zone_of(&digests, NOW.after(FULL_REST), &[], 0.5).is_some());
+    assert_eq!(overflow_zone(&digests, NOW.after(FULL_BACKOFF / 2), &[], 0.5), None);
+    assert!(overflow_zone(&digests, NOW.after(FULL_BACKOFF), &[], 0.5).is_some());
 }
 
 #[test]
-fn a_digest_counts_for_a_while() {
+fn a_summary_is_valid_for_a_while() {
     let mut digests = Digests::default();
     assert!(digests.hear(NOW, digest("a", 5, 500, 0)));
-    assert!(!digests.hear(NOW.after(SOON), digest("a", 5, 500, 0)), "passed on by another one");
-    assert!(!digests.hear(NOW.after(SOON), digest("a", 4, 500, 0)), "overtaken");
-    let later = NOW.after(DIGEST_LIFE);
-    assert_eq!(zone_of(&digests, later, &[], 0.5), None);
+    assert!(!digests.hear(NOW.after(SOON), digest("a", 5, 500, 0)), "relayed by another gateway");
+    assert!(!digests.hear(NOW.after(SOON), digest("a", 4, 500, 0)), "outdated");
+    let later = NOW.after(SUMMARY_LIFETIME);
+    assert_eq!(overflow_zone(&digests, later, &[], 0.5), None);
     assert!(digests.hear(later, digest("a", 6, 500, 0)));
-    assert!(zone_of(&digests, later, &[], 0.5).is_some());
+    assert!(overflow_zone(&digests, later, &[], 0.5).is_some());
 }
 
-/// What one delegate sends fits a datagram, with the digests of the other zones of a large region.
+/// The report of one zone leader fits a datagram, with the summaries of the other zones of a large
+/// region.
 #[test]
-fn a_share_with_digests_of_other_zones_is_short() {
+fn a_load_report_with_summaries_of_other_zones_fits_a_datagram() {
     let digests: Vec<Digest> = (0..7)
         .flat_map(|zone| [1, 2].map(|n| (zone, n)))
         .map(|(zone, n)| Digest {
@@ -154,7 +155,7 @@
         .collect();
     let mut bytes = Vec::new();
     let share = Share { name: "front-zone-8-1".into(), digests, ..Share::default() };
-    ciborium::into_writer(&News::Share(share), &mut bytes).expect("a share is encoded");
+    ciborium::into_writer(&News::Share(share), &mut bytes).expect("a load report is encoded");
     assert!(bytes.len() < 2_500, "{}", bytes.len());
     let mut one = Vec::new();
     ciborium::into_writer(&News::Digest(digest("zone-1", 1, 500, 90)), &mut one).expect("encoded");
