--- a/crates/core/tests/route.rs
+++ b/crates/core/tests/route.rs
@@ -1,4 +1,4 @@
-//! Which executor an entry chooses by what it sent to each.
+//! Choice of an executor by the number of admissions sent to each.
 
 use std::time::Duration;
 
@@ -24,8 +24,8 @@
     pool
 }
 
-/// A check whose first byte is wanted within 150 ms.
-fn check() -> Spec {
+/// An at-most-once call whose first byte is wanted within 150 ms.
+fn at_most_once_spec() -> Spec {
     let call = PlainCall {
         method: "POST".into(),
         path: String::new(),
@@ -49,13 +49,13 @@
 
 fn choose(pool: &mut PoolView) -> Result<Peer, Option<Timestamp>> {
     let mut policy = Earliest { zone: Zone::default() };
-    pool.executor(NOW, &check(), HOLD, &mut policy, &mut ChaCha8Rng::seed_from_u64(1))
+    pool.executor(NOW, &at_most_once_spec(), HOLD, &mut policy, &mut ChaCha8Rng::seed_from_u64(1))
 }
 
-/// Repeats find the attempt that there is, and send no admission: servers whose load is not known yet
-/// are not taken for full.
+/// Guards against counting choices instead of admissions. Retries that join an existing attempt
+/// send no admission; when they were counted, servers whose load was not known yet looked full.
 #[test]
-fn choices_that_send_nothing_fill_no_server() {
+fn choices_without_an_admission_do_not_fill_a_server() {
     let mut pool = pool(2);
     for _ in 0..40 {
         assert!(choose(&mut pool).is_ok());
@@ -63,11 +63,11 @@
 }
 
 #[test]
-fn what_was_sent_since_the_last_report_counts() {
+fn admissions_since_the_last_report_count() {
     let mut pool = pool(1);
     for _ in 0..8 {
-        let executor = choose(&mut pool).expect("it has room");
+        let executor = choose(&mut pool).expect("a slot is free");
         pool.sent(&executor);
     }
-    assert!(choose(&mut pool).is_err(), "eight of 20 ms each come first");
+    assert!(choose(&mut pool).is_err(), "eight requests of 20 ms each are ahead");
 }
