--- a/crates/daemon/src/gateway/stream.rs
+++ b/crates/daemon/src/gateway/stream.rs
@@ -260,10 +260,10 @@
 ) -> Result<Server, StreamError> {
     loop {
         let server = admission::admit(shared, intake, engine, state, tried, resumed).await?;
-        if state.prompt_handle.as_ref().is_some_and(|handle| handle.until <= shared.now()) {
-            state.drop_prompt_handle(shared);
+        if state.prefill_handle.as_ref().is_some_and(|handle| handle.until <= shared.now()) {
+            state.drop_prefill_handle(shared);
         }
-        if state.prompt_handle.is_none() {
+        if state.prefill_handle.is_none() {
             prefill::run(shared, intake, state).await;
         }
         // The decode engine may have begun to leave while the prompt was read.
--- a/crates/daemon/src/gateway/stream/prefill.rs
+++ b/crates/daemon/src/gateway/stream/prefill.rs
@@ -10,7 +10,7 @@
 use ebonyloft_router::prefill::{self, Choice};
 use ebonyloft_router::share::Work;
 
-use super::state::{PromptHandle, StreamState};
+use super::state::{PrefillHandle, StreamState};
 use crate::gateway::call;
 use crate::gateway::intake::Intake;
 use crate::gateway::limits;
@@ -39,7 +39,7 @@
     state: &StreamState,
     now: Timestamp,
 ) -> Timestamp {
-    if state.prompt_handle.is_some() {
+    if state.prefill_handle.is_some() {
         return now;
     }
     // All prefill engines are considered: whether any can be in time does not depend on the one
@@ -176,7 +176,7 @@
         }
         let (id, addr) = (server.id.clone(), server.addr);
         let until = done.after(handle_lifetime(intake)).before(HANDLE_MARGIN);
-        state.prompt_handle = Some(PromptHandle { id, addr, handle, until });
+        state.prefill_handle = Some(PrefillHandle { id, addr, handle, until });
         retries::accepted(shared, intake);
         return true;
     }
--- a/crates/daemon/src/gateway/stream/state.rs
+++ b/crates/daemon/src/gateway/stream/state.rs
@@ -36,7 +36,7 @@
 }
 
 /// A prompt read by a prefill engine.
-pub struct PromptHandle {
+pub struct PrefillHandle {
     /// The prefill engine.
     pub id: ServerId,
     /// Its address.
@@ -63,7 +63,7 @@
     /// The prefill engine that is reading the prompt, and the prompt's tokens.
     pub prefilling: Option<(ServerId, u64)>,
     /// The prompt read by a prefill engine.
-    pub prompt_handle: Option<PromptHandle>,
+    pub prefill_handle: Option<PrefillHandle>,
     /// Tokens of the answer generated so far.
     pub generated: u64,
     /// When the first event of the current attempt came.
@@ -83,7 +83,7 @@
             reservation: None,
             zones_asked: Vec::new(),
             prefilling: None,
-            prompt_handle: None,
+            prefill_handle: None,
             generated: 0,
             first_event_at: None,
             longest_gap: Duration::ZERO,
@@ -103,7 +103,7 @@
         if let Some(hold_id) = self.reservation.as_ref().and_then(|r| r.hold_id.as_deref()) {
             headers::set_hold(headers, hold_id);
         }
-        if let Some(prompt_handle) = &self.prompt_handle {
+        if let Some(prompt_handle) = &self.prefill_handle {
             headers::set_source(headers, prompt_handle.addr, &prompt_handle.handle);
         }
     }
@@ -113,7 +113,7 @@
         if let Some(reservation) = &mut self.reservation {
             reservation.hold_id = None;
         }
-        self.prompt_handle = None;
+        self.prefill_handle = None;
     }
 
     /// Records how many tokens the answer has.
@@ -134,14 +134,14 @@
         if let Some((id, tokens)) = self.prefilling.take() {
             shared.engines.borrow_mut().read(&id, tokens);
         }
-        self.drop_prompt_handle(shared);
+        self.drop_prefill_handle(shared);
         self.free_reservation(shared, now, complete);
         shared.wake_all();
     }
 
     /// Releases the prompt handle.
-    pub fn drop_prompt_handle(&mut self, shared: &Shared) {
-        if let Some(prompt_handle) = self.prompt_handle.take() {
+    pub fn drop_prefill_handle(&mut self, shared: &Shared) {
+        if let Some(prompt_handle) = self.prefill_handle.take() {
             let req = engine::drop_handle(&prompt_handle.id, &prompt_handle.handle);
             send_release(shared, &prompt_handle.id, prompt_handle.addr, req);
         }
