--- a/crates/daemon/src/gateway/stream/state.rs
+++ b/crates/daemon/src/gateway/stream/state.rs
@@ -103,8 +103,8 @@
         if let Some(hold_id) = self.reservation.as_ref().and_then(|r| r.hold_id.as_deref()) {
             headers::set_hold(headers, hold_id);
         }
-        if let Some(prompt_handle) = &self.prefill_handle {
-            headers::set_source(headers, prompt_handle.addr, &prompt_handle.handle);
+        if let Some(prefill_handle) = &self.prefill_handle {
+            headers::set_source(headers, prefill_handle.addr, &prefill_handle.handle);
         }
     }
 
