--- a/crates/daemon/src/gateway/stream/state.rs
+++ b/crates/daemon/src/gateway/stream/state.rs
@@ -141,9 +141,9 @@
 
     /// Releases the prompt handle.
     pub fn drop_prefill_handle(&mut self, shared: &Shared) {
-        if let Some(prompt_handle) = self.prefill_handle.take() {
-            let req = engine::drop_handle(&prompt_handle.id, &prompt_handle.handle);
-            send_release(shared, &prompt_handle.id, prompt_handle.addr, req);
+        if let Some(prefill_handle) = self.prefill_handle.take() {
+            let req = engine::drop_handle(&prefill_handle.id, &prefill_handle.handle);
+            send_release(shared, &prefill_handle.id, prefill_handle.addr, req);
         }
     }
 
