--- a/crates/check/src/accounts/gate.rs
+++ b/crates/check/src/accounts/gate.rs
@@ -8,10 +8,12 @@
 use ebonyloft_router::delegate::SILENT;
 use ebonyloft_router::fleet::Fleet;
 use ebonyloft_router::node::Excess;
-use ebonyloft_router::quota::borrower::Borrower;
-use ebonyloft_router::quota::homes::{Homes, Missing, Votes, gateway_number};
-use ebonyloft_router::quota::lender::{Lender, spare};
-use ebonyloft_router::quota::{Ask, Key, Reply};
+use ebonyloft_router::quota::issuer::{LeaseIssuer, standby_share};
+use ebonyloft_router::quota::leases::TokenLeases;
+use ebonyloft_router::quota::ownership::{
+    Owners, ReachabilityReports, UnreachableGateways, gateway_number,
+};
+use ebonyloft_router::quota::{LeaseDecision, LeaseRequest, LimitKey};
 use ebonyloft_router::recency::Recency;
 use ebonyloft_router::zones::{Scope, scope};
 
@@ -34,14 +36,14 @@
     /// As of when that is the newest.
     pub recency: Recency,
     /// What it borrowed.
-    pub borrower: Borrower,
-    lender: Lender,
-    homes: Homes,
-    heard: BTreeMap<String, (Timestamp, Missing)>,
+    pub borrower: TokenLeases,
+    lender: LeaseIssuer,
+    homes: Owners,
+    heard: BTreeMap<String, (Timestamp, UnreachableGateways)>,
     silent: HashMap<u32, Timestamp>,
     mutant: Option<Mutant>,
     /// Bounds that a mutant goes on with until a bucket is empty.
-    old: HashMap<Key, Rate>,
+    old: HashMap<LimitKey, Rate>,
 }
 
 impl Gate {
@@ -52,9 +54,9 @@
             name: name.to_owned(),
             version: 0,
             recency: Recency::default(),
-            borrower: Borrower::default(),
-            lender: Lender::new(since),
-            homes: Homes::default(),
+            borrower: TokenLeases::default(),
+            lender: LeaseIssuer::new(since),
+            homes: Owners::default(),
             heard: BTreeMap::new(),
             silent: HashMap::new(),
             mutant,
@@ -63,21 +65,21 @@
     }
 
     /// Another gateway told whom it misses.
-    pub fn hear(&mut self, now: Timestamp, name: &str, missing: Missing) {
+    pub fn hear(&mut self, now: Timestamp, name: &str, missing: UnreachableGateways) {
         self.heard.insert(name.to_owned(), (now, missing));
     }
 
     /// Whom this one misses.
-    pub fn missing(&self, now: Timestamp, fleet: &Fleet) -> Missing {
+    pub fn missing(&self, now: Timestamp, fleet: &Fleet) -> UnreachableGateways {
         if scope(fleet, 0) == Scope::Zone {
-            return Missing::new();
+            return UnreachableGateways::new();
         }
         let others = fleet.all().keys().filter(|name| **name != self.name);
         let lost = others.filter(|name| self.lately(now, name).is_none());
         lost.map(|name| gateway_number(name)).collect()
     }
 
-    fn lately(&self, now: Timestamp, name: &str) -> Option<&Missing> {
+    fn lately(&self, now: Timestamp, name: &str) -> Option<&UnreachableGateways> {
         let (at, missing) = self.heard.get(name)?;
         (now.since(*at) < SILENT).then_some(missing)
     }
@@ -91,15 +93,15 @@
     }
 
     /// The gateways ranked for an account.
-    pub fn ranked(&mut self, fleet: &Fleet, key: &Key) -> std::rc::Rc<[String]> {
+    pub fn ranked(&mut self, fleet: &Fleet, key: &LimitKey) -> std::rc::Rc<[String]> {
         self.homes.ranked(fleet, key)
     }
 
     /// The gateway to ask for an account.
-    pub fn home(&mut self, now: Timestamp, fleet: &Fleet, key: &Key) -> Option<String> {
+    pub fn home(&mut self, now: Timestamp, fleet: &Fleet, key: &LimitKey) -> Option<String> {
         let mut missing = self.missing(now, fleet);
         missing.extend(self.silent.keys());
-        self.homes.home(fleet, key, &missing)
+        self.homes.owner(fleet, key, &missing)
     }
 
     /// A home did not answer.
@@ -108,11 +110,17 @@
     }
 
     /// Lends, as the home of an account or in its place.
-    pub fn lend(&mut self, now: Timestamp, fleet: &Fleet, ask: &Ask, bound: &Rate) -> Reply {
+    pub fn lend(
+        &mut self,
+        now: Timestamp,
+        fleet: &Fleet,
+        ask: &LeaseRequest,
+        bound: &Rate,
+    ) -> LeaseDecision {
         let bound = self.bound(&ask.key, bound);
         if self.mutant == Some(Mutant::ByNumber) {
             let part = 1.0 / fleet.all().len() as f64;
-            return self.lender.lend(now, ask, &bound, part, true);
+            return self.lender.grant(now, ask, &bound, part, true);
         }
         let ranked = self.homes.ranked(fleet, &ask.key);
         let at = ranked.iter().position(|name| *name == self.name);
@@ -123,7 +131,7 @@
         };
         let first = deputy || at == Some(0);
         self.tick(now, fleet);
-        self.lender.lend(now, ask, &bound, part, first)
+        self.lender.grant(now, ask, &bound, part, first)
     }
 
     /// Takes back what another gateway did not use.
@@ -131,17 +139,17 @@
         &mut self,
         now: Timestamp,
         fleet: &Fleet,
-        key: &Key,
+        key: &LimitKey,
         tokens: u64,
         bound: &Rate,
     ) {
         let at = self.homes.ranked(fleet, key).iter().position(|name| *name == self.name);
         let part = self.part(now, fleet, key, bound, at);
-        self.lender.take_back(key, tokens, part);
+        self.lender.return_unused(key, tokens, part);
     }
 
     /// The bound that counts; a mutant keeps a higher one until it has nothing left to lend.
-    fn bound(&mut self, key: &Key, bound: &Rate) -> Rate {
+    fn bound(&mut self, key: &LimitKey, bound: &Rate) -> Rate {
         if self.mutant != Some(Mutant::LoweredLate) {
             return *bound;
         }
@@ -156,20 +164,20 @@
         &mut self,
         now: Timestamp,
         fleet: &Fleet,
-        key: &Key,
+        key: &LimitKey,
         bound: &Rate,
         at: Option<usize>,
     ) -> f64 {
         if scope(fleet, 0) == Scope::Zone {
             return match at {
                 Some(0) => 1.0,
-                Some(1) => spare(bound, &EXCESS),
+                Some(1) => standby_share(bound, &EXCESS),
                 _ => 0.0,
             };
         }
         let own = self.missing(now, fleet);
         let mut homes = std::mem::take(&mut self.homes);
-        let part = homes.part(fleet, key, &self.name, &View { gate: self, now, own: &own });
+        let part = homes.share(fleet, key, &self.name, &View { gate: self, now, own: &own });
         self.homes = homes;
         part
     }
@@ -178,11 +186,11 @@
 struct View<'a> {
     gate: &'a Gate,
     now: Timestamp,
-    own: &'a Missing,
+    own: &'a UnreachableGateways,
 }
 
-impl Votes for View<'_> {
-    fn missing(&self, name: &str) -> Option<&Missing> {
+impl ReachabilityReports for View<'_> {
+    fn missing(&self, name: &str) -> Option<&UnreachableGateways> {
         match name == self.gate.name {
             true => Some(self.own),
             false => self.gate.lately(self.now, name),
--- a/crates/check/src/accounts/world.rs
+++ b/crates/check/src/accounts/world.rs
@@ -6,8 +6,8 @@
 use ebonyloft_core::config::Rate;
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::fleet::{Fleet, Gateway};
-use ebonyloft_router::quota::homes::Missing;
-use ebonyloft_router::quota::{Ask, Key, Reply};
+use ebonyloft_router::quota::ownership::UnreachableGateways;
+use ebonyloft_router::quota::{LeaseDecision, LeaseRequest, LimitKey};
 use ebonyloft_router::recency::Held;
 use ebonyloft_router::zones::{Scope, scope};
 use rand::{Rng, SeedableRng};
@@ -83,11 +83,11 @@
 enum Event {
     Call(usize),
     Arrive(Request),
-    Asked { from: usize, to: usize, ask: Ask, request: u64 },
-    Answered { number: u64, reply: Reply, request: u64 },
+    Asked { from: usize, to: usize, ask: LeaseRequest, request: u64 },
+    Answered { number: u64, reply: LeaseDecision, request: u64 },
     Unanswered { number: u64, asks: u32, home: String },
     Send(Request),
-    Unused { to: usize, key: Key, tokens: u64 },
+    Unused { to: usize, key: LimitKey, tokens: u64 },
     Poll(usize, u32),
     Polled { gate: usize, life: u32, sent: Timestamp },
     Look(usize, u32),
@@ -272,8 +272,8 @@
         }
     }
 
-    fn key(account: usize) -> Key {
-        Key::account(&format!("account-{account}"))
+    fn key(account: usize) -> LimitKey {
+        LimitKey::account(&format!("account-{account}"))
     }
 
     /// A request is read: at once, or when a gateway that stands still goes on.
@@ -300,13 +300,13 @@
         let (now, key) = (self.clock(request.gate), Self::key(request.account));
         let gate = &mut self.hosts[request.gate].gate;
         let held = match first {
-            true => gate.borrower.take(now, &key, WEIGHT),
-            false => gate.borrower.take_lent(now, &key, WEIGHT),
+            true => gate.borrower.spend(now, &key, WEIGHT),
+            false => gate.borrower.spend_granted(now, &key, WEIGHT),
         };
         if held {
             return self.queue_up(request);
         }
-        if gate.borrower.over(now, &key).is_some() || request.asks == ASKS {
+        if gate.borrower.exhausted(now, &key).is_some() || request.asks == ASKS {
             return;
         }
         let home = match self.spec.mutant {
@@ -321,11 +321,11 @@
         self.next += u64::from(!again);
         let number = if again { request.open } else { self.next };
         let asked = if again { request.asked } else { now };
-        let ask = Ask {
+        let ask = LeaseRequest {
             number,
             key: key.clone(),
             need: WEIGHT,
-            more: gate.borrower.more(&key),
+            more: gate.borrower.prefetch(&key),
             limit: None,
         };
         let request = Request { asks: request.asks + 1, open: number, asked, ..request };
@@ -374,7 +374,7 @@
             _ => 1,
         };
         for _ in 0..times {
-            self.hosts[request.gate].gate.borrower.give_back(now, &key, WEIGHT);
+            self.hosts[request.gate].gate.borrower.restore(now, &key, WEIGHT);
         }
         // Its caller does not miss it: it counts neither as asked nor as served.
         if request.sent.since(START) >= SETTLED {
@@ -393,7 +393,7 @@
         Duration::from_micros(self.rng.random_range(300..4_000))
     }
 
-    fn lend(&mut self, from: usize, to: usize, ask: &Ask, request: u64) {
+    fn lend(&mut self, from: usize, to: usize, ask: &LeaseRequest, request: u64) {
         let host = &self.hosts[to];
         if !host.up {
             return;
@@ -406,7 +406,7 @@
         let account = self.requests.get(&request).map_or(WITHIN, |r| r.account);
         let gate = &mut self.hosts[to].gate;
         let reply = match gate.version {
-            0 => Reply::Elsewhere,
+            0 => LeaseDecision::Elsewhere,
             version => gate.lend(now, &self.fleet, ask, &Self::bound(version, account)),
         };
         let number = ask.number;
@@ -420,7 +420,7 @@
         }
     }
 
-    fn answered(&mut self, number: u64, reply: Reply, request: u64) {
+    fn answered(&mut self, number: u64, reply: LeaseDecision, request: u64) {
         let Some(request) = self.requests.get(&request).copied().filter(|r| r.open == number)
         else {
             return;
@@ -433,15 +433,15 @@
         let (now, key) = (self.clock(request.gate), Self::key(request.account));
         let borrower = &mut self.hosts[request.gate].gate.borrower;
         match reply {
-            Reply::Lent(tokens) => {
-                borrower.lent(&key, request.asked, tokens);
+            LeaseDecision::Lent(tokens) => {
+                borrower.on_granted(&key, request.asked, tokens);
                 self.charge(request, false);
             }
-            Reply::Over { room, back } => {
+            LeaseDecision::Over { room, back } => {
                 let after = |ms: u32| now.after(Duration::from_millis(ms.into()));
-                borrower.refused(&key, after(room), after(back));
+                borrower.on_exhausted(&key, after(room), after(back));
             }
-            Reply::Elsewhere => {}
+            LeaseDecision::Elsewhere => {}
         }
     }
 
@@ -566,7 +566,7 @@
             return;
         }
         let gates = self.hosts.len();
-        let told: Vec<Option<Missing>> = (0..gates)
+        let told: Vec<Option<UnreachableGateways>> = (0..gates)
             .map(|i| {
                 let host = &self.hosts[i];
                 let tells = host.up && host.resumes.is_none();
@@ -605,7 +605,7 @@
         if self.spec.mutant == Some(Mutant::Kept) {
             return;
         }
-        let mut unused = self.hosts[gate].gate.borrower.unused(now, LAPSES);
+        let mut unused = self.hosts[gate].gate.borrower.take_expiring(now, LAPSES);
         unused.sort();
         for (key, tokens) in unused {
             let Some(home) = self.hosts[gate].gate.home(now, &self.fleet, &key) else {
@@ -620,8 +620,8 @@
         }
     }
 
-    fn take_back(&mut self, to: usize, key: &Key, tokens: u64) {
-        let Key::Account(name) = key else {
+    fn take_back(&mut self, to: usize, key: &LimitKey, tokens: u64) {
+        let LimitKey::Account(name) = key else {
             return;
         };
         let number = name.as_str().rsplit('-').next().and_then(|n| n.parse().ok());
--- a/crates/check/src/answers/gate.rs
+++ b/crates/check/src/answers/gate.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use ebonyloft_core::time::Timestamp;
+use ebonyloft_router::back_offs::BackOffs;
 use ebonyloft_router::catalog::{Server, ServerId};
-use ebonyloft_router::content::Content;
 use ebonyloft_router::drift::Drift;
-use ebonyloft_router::losses::{Loss, Losses, STREAM_WAIT};
-use ebonyloft_router::outcome::Pause;
-use ebonyloft_router::pauses::Pauses;
-use ebonyloft_router::quarantine::{Fact, Quarantine, Standing, Word};
+use ebonyloft_router::lost_attempts::{LostAttempt, LostAttempts, STREAM_PROBE_DELAY};
+use ebonyloft_router::outcome::BackOff;
+use ebonyloft_router::quarantine::{Fact, Quarantine, QuarantineState, QuarantineUpdate};
+use ebonyloft_router::request_digest::RequestDigest;
 use ebonyloft_router::roster::Roster;
 
 /// A rule left out.
@@ -54,13 +54,13 @@
     /// Contents.
     pub quarantine: Quarantine,
     /// Losses that are looked into.
-    pub losses: Losses,
+    pub losses: LostAttempts,
     /// Peers that know something else.
     pub drift: Drift,
     /// Lives, and which said that they leave.
     pub roster: Roster,
     /// Servers that want nothing.
-    pub pauses: Pauses,
+    pub pauses: BackOffs,
     /// Addresses that a mutant takes as left.
     pub left: HashSet<std::net::SocketAddr>,
     /// Which process it is.
@@ -70,7 +70,7 @@
     /// Nothing reaches it, and it reaches nobody, until then.
     pub cut_until: Timestamp,
     /// Words to be told.
-    pub words: Vec<Word>,
+    pub words: Vec<QuarantineUpdate>,
     /// Number of its last trial; begins at a draw.
     pub trials: u64,
     mutant: Option<Mutant>,
@@ -81,10 +81,10 @@
     pub fn new(life: u32, trials: u64, mutant: Option<Mutant>) -> Self {
         Gate {
             quarantine: Quarantine::default(),
-            losses: Losses::default(),
+            losses: LostAttempts::default(),
             drift: Drift::default(),
             roster: Roster::default(),
-            pauses: Pauses::default(),
+            pauses: BackOffs::default(),
             left: HashSet::new(),
             life,
             up: true,
@@ -101,9 +101,9 @@
     }
 
     /// How a request is treated; a suspect's trial begins.
-    pub fn admit(&mut self, now: Timestamp, content: Content) -> Standing {
+    pub fn admit(&mut self, now: Timestamp, content: RequestDigest) -> QuarantineState {
         let standing = self.quarantine.standing(now, &content);
-        if standing == Standing::Suspect {
+        if standing == QuarantineState::Suspect {
             self.trials += 1;
             self.note(now, content, Duration::ZERO, Fact::Trying(self.trials));
         }
@@ -111,21 +111,21 @@
     }
 
     /// Is a content proved by now?
-    pub fn is_proved(&self, now: Timestamp, content: &Content) -> bool {
-        matches!(self.quarantine.standing(now, content), Standing::Proved(_))
+    pub fn is_proved(&self, now: Timestamp, content: &RequestDigest) -> bool {
+        matches!(self.quarantine.standing(now, content), QuarantineState::Confirmed(_))
     }
 
     /// May a server be sent something?
     pub fn takes(&self, now: Timestamp, server: &Server, retry: bool) -> bool {
         let ignores = retry && self.mutant == Some(Mutant::PauseIgnored);
-        let open = ignores || self.pauses.is_open(now, &server.id);
+        let open = ignores || self.pauses.is_available(now, &server.id);
         open && !self.roster.has_left(&server.id.name) && !self.left.contains(&server.addr)
     }
 
     /// A run broke off.
-    pub fn lost(&mut self, server: &Server, loss: Loss) {
+    pub fn lost(&mut self, server: &Server, loss: LostAttempt) {
         let now = loss.at;
-        if self.roster.has_left(&server.id.name) || self.quarantine.is_sound(now, &loss.content) {
+        if self.roster.has_left(&server.id.name) || self.quarantine.is_healthy(now, &loss.content) {
             return;
         }
         match self.mutant {
@@ -141,13 +141,13 @@
         if loss.early {
             self.note(now, loss.content, Duration::ZERO, Fact::Lost(loss.number));
         }
-        self.losses.lost(server, loss, STREAM_WAIT);
+        self.losses.add(server, loss, STREAM_PROBE_DELAY);
     }
 
     /// A life has ended.
     pub fn ended(&mut self, now: Timestamp, id: &ServerId) {
-        for loss in self.losses.ended(id) {
-            if self.quarantine.is_sound(loss.at, &loss.content) {
+        for loss in self.losses.on_crash(id) {
+            if self.quarantine.is_healthy(loss.at, &loss.content) {
                 continue;
             }
             let fact = Fact::Ended(id.clone(), loss.early);
@@ -160,14 +160,14 @@
 
     /// A life answered what was sent then.
     pub fn alive(&mut self, now: Timestamp, id: &ServerId, sent: Timestamp) {
-        for loss in self.losses.alive(id, sent) {
+        for loss in self.losses.on_answer(id, sent) {
             self.note(now, loss.content, Duration::ZERO, Fact::Over(loss.number));
         }
     }
 
     /// A content was answered whole.
-    pub fn served(&mut self, now: Timestamp, content: Content) {
-        if self.quarantine.served_here(now, content) {
+    pub fn served(&mut self, now: Timestamp, content: RequestDigest) {
+        if self.quarantine.on_served(now, content) {
             self.note(now, content, Duration::ZERO, Fact::Served);
         }
     }
@@ -182,13 +182,13 @@
 
     /// A server wants nothing for a while.
     pub fn paused(&mut self, now: Timestamp, id: &ServerId, pause: Duration) {
-        self.pauses.note(now, id, Pause::For(pause));
+        self.pauses.record(now, id, BackOff::For(pause));
     }
 
     /// Takes what happened here and has it told to all.
-    pub fn note(&mut self, now: Timestamp, content: Content, ago: Duration, fact: Fact) {
-        let word = Word { content, age: ago.as_millis() as u64, fact };
-        self.quarantine.take(now, &word);
+    pub fn note(&mut self, now: Timestamp, content: RequestDigest, ago: Duration, fact: Fact) {
+        let word = QuarantineUpdate { content, age: ago.as_millis() as u64, fact };
+        self.quarantine.apply(now, &word);
         if self.mutant != Some(Mutant::Alone) {
             self.words.push(word);
         }
--- a/crates/check/src/answers/world.rs
+++ b/crates/check/src/answers/world.rs
@@ -5,9 +5,9 @@
 
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Server, ServerId, Stage};
-use ebonyloft_router::content::Content;
-use ebonyloft_router::losses::{Found, Loss};
-use ebonyloft_router::quarantine::{Ending, Fact, Standing, Word};
+use ebonyloft_router::lost_attempts::{LostAttempt, ProbeResult};
+use ebonyloft_router::quarantine::{Crash, Fact, QuarantineState, QuarantineUpdate};
+use ebonyloft_router::request_digest::RequestDigest;
 use ebonyloft_router::roster::{Change, Entry};
 use ebonyloft_router::share::{News, Notes};
 use rand::{Rng, SeedableRng};
@@ -76,7 +76,7 @@
 /// What a caller wants.
 #[derive(Clone, Copy, Debug)]
 struct Ask {
-    content: Content,
+    content: RequestDigest,
     bad: bool,
     tries: u32,
     since: Timestamp,
@@ -89,7 +89,7 @@
     Arrive(u64),
     Step(u64),
     Write(Flight),
-    Crash(usize, ServerId, Option<Content>),
+    Crash(usize, ServerId, Option<RequestDigest>),
     Up(usize),
     Gone(ServerId),
     Lost(u64),
@@ -102,8 +102,8 @@
     Cut(usize, Duration),
     Leave(usize),
     Pause(usize, Duration),
-    Prove(Content),
-    Keep(Content, Vec<Ending>),
+    Prove(RequestDigest),
+    Keep(RequestDigest, Vec<Crash>),
 }
 
 struct Host {
@@ -125,10 +125,10 @@
     hosts: Vec<Host>,
     flights: BTreeMap<u64, Flight>,
     next: u64,
-    stored: HashSet<Content>,
-    suspects: HashMap<Content, Vec<Ending>>,
-    ended: HashMap<Content, Vec<Timestamp>>,
-    reached: HashMap<Content, Vec<Timestamp>>,
+    stored: HashSet<RequestDigest>,
+    suspects: HashMap<RequestDigest, Vec<Crash>>,
+    ended: HashMap<RequestDigest, Vec<Timestamp>>,
+    reached: HashMap<RequestDigest, Vec<Timestamp>>,
     told: HashMap<(usize, u32, ServerId), Timestamp>,
     pauses: HashMap<(usize, u32, ServerId), (Timestamp, Timestamp, usize)>,
     bytes: HashMap<(usize, u64), usize>,
@@ -190,7 +190,7 @@
         for n in 0..BAD {
             let mut at = ms(500 + n * 700);
             while at < SENDS {
-                self.queue.after(at, Event::Ask(self.ask(Content(n, 0), true)));
+                self.queue.after(at, Event::Ask(self.ask(RequestDigest(n, 0), true)));
                 at += REPEAT;
             }
         }
@@ -198,7 +198,7 @@
         let mut n = 1_000;
         while at < SENDS {
             n += 1;
-            self.queue.after(at, Event::Ask(self.ask(Content(n, 1), false)));
+            self.queue.after(at, Event::Ask(self.ask(RequestDigest(n, 1), false)));
             at += OTHERS;
         }
         self.queue.after(ROUND, Event::Round);
@@ -238,7 +238,7 @@
         }
     }
 
-    fn ask(&self, content: Content, bad: bool) -> Ask {
+    fn ask(&self, content: RequestDigest, bad: bool) -> Ask {
         Ask { content, bad, tries: 0, since: Timestamp::default(), trial: 0 }
     }
 
@@ -261,7 +261,7 @@
             self.handle(event);
         }
         for n in 0..BAD {
-            let content = Content(n, 0);
+            let content = RequestDigest(n, 0);
             let mut ended = self.ended.remove(&content).unwrap_or_default();
             ended.sort();
             let reached = self.reached.remove(&content).unwrap_or_default();
@@ -335,14 +335,14 @@
     fn admit(&mut self, gate: usize, mut ask: Ask) {
         let (now, content) = (self.queue.now(), self.known_as(&ask));
         match self.gates[gate].admit(now, content) {
-            Standing::Free => {}
-            Standing::Suspect => ask.trial = self.gates[gate].trials,
-            Standing::Held(_) if now < ask.since.after(WAIT) => {
+            QuarantineState::Free => {}
+            QuarantineState::Suspect => ask.trial = self.gates[gate].trials,
+            QuarantineState::Held(_) if now < ask.since.after(WAIT) => {
                 // It waits at its gateway, or comes back.
                 return self.queue.after(LOOK, Event::Ask(ask));
             }
-            Standing::Held(_) => return,
-            Standing::Proved(_) => {
+            QuarantineState::Held(_) => return,
+            QuarantineState::Confirmed(_) => {
                 self.tally.refused += usize::from(!ask.bad);
                 return;
             }
@@ -351,10 +351,10 @@
         self.send(gate, ask, Step::Read, None);
     }
 
-    fn known_as(&mut self, ask: &Ask) -> Content {
+    fn known_as(&mut self, ask: &Ask) -> RequestDigest {
         if self.spec.mutant == Some(Mutant::ById) {
             self.next += 1;
-            return Content(self.next, u64::MAX);
+            return RequestDigest(self.next, u64::MAX);
         }
         ask.content
     }
@@ -490,7 +490,7 @@
         if gate.hears(now) && gate.life == flight.life {
             let first = flight.began.map(|at| at.after(ms(30)));
             let early = first.is_none_or(|at| now < at.after(ms(1_000)));
-            let loss = Loss { content, early, sent: flight.sent, at: now, number: n };
+            let loss = LostAttempt { content, early, sent: flight.sent, at: now, number: n };
             let reading = flight.step == Step::Read;
             if !(reading && self.spec.mutant == Some(Mutant::ReadingFree)) {
                 gate.lost(&self.hosts[flight.server].server, loss);
@@ -513,10 +513,10 @@
             return;
         }
         own.losses.expire(now);
-        for (id, _) in own.losses.ask(now) {
+        for (id, _) in own.losses.due_probes(now) {
             self.queue.after(ms(2), Event::Found(gate, life, id, now));
         }
-        if let Some(at) = self.gates[gate].losses.next_ask() {
+        if let Some(at) = self.gates[gate].losses.next_probe_at() {
             self.queue.after(at.since(now).max(ms(1)), Event::Poll(gate, life));
         }
     }
@@ -526,16 +526,16 @@
         let number = |id: &ServerId| id.name.split('+').next().map(str::to_owned);
         let host = self.hosts.iter().find(|h| number(&h.server.id) == number(id));
         let found = match host {
-            Some(host) if host.up && host.server.id == *id => Found::Alive,
-            Some(host) if host.up => Found::Other,
-            _ => Found::Nobody,
+            Some(host) if host.up && host.server.id == *id => ProbeResult::Alive,
+            Some(host) if host.up => ProbeResult::Other,
+            _ => ProbeResult::Nobody,
         };
         let own = &mut self.gates[gate];
         if own.life != life || !own.hears(now) {
             return;
         }
-        let ended = own.losses.found(id, found);
-        if found == Found::Alive {
+        let ended = own.losses.on_probe_result(id, found);
+        if found == ProbeResult::Alive {
             own.alive(now, id, sent);
         }
         if ended {
@@ -544,7 +544,7 @@
         self.flush(gate);
     }
 
-    fn crash(&mut self, host: usize, id: &ServerId, content: Option<Content>) {
+    fn crash(&mut self, host: usize, id: &ServerId, content: Option<RequestDigest>) {
         let now = self.queue.now();
         if !self.hosts[host].up || self.hosts[host].server.id != *id {
             return;
@@ -616,14 +616,16 @@
         }
         if !self.deaf_at_start() {
             for content in self.stored.iter() {
-                let word = Word { content: *content, age: 0, fact: Fact::Proved };
-                self.gates[n].quarantine.take(now, &word);
+                let word = QuarantineUpdate { content: *content, age: 0, fact: Fact::Proved };
+                self.gates[n].quarantine.apply(now, &word);
             }
             for (content, endings) in &self.suspects {
                 for e in endings {
                     let age = now.since(e.at).as_millis() as u64;
                     let fact = Fact::Ended(e.server.clone(), e.early);
-                    self.gates[n].quarantine.take(now, &Word { content: *content, age, fact });
+                    self.gates[n]
+                        .quarantine
+                        .apply(now, &QuarantineUpdate { content: *content, age, fact });
                 }
             }
         }
@@ -642,8 +644,8 @@
                 self.queue.after(ms(self.rng.random_range(10..60)), Event::Prove(content));
             }
             let known = &self.gates[from].quarantine;
-            if known.is_close(&word.content) && !self.deaf_at_start() {
-                let keep = Event::Keep(word.content, known.endings(&word.content).to_vec());
+            if known.is_nearly_confirmed(&word.content) && !self.deaf_at_start() {
+                let keep = Event::Keep(word.content, known.crashes(&word.content).to_vec());
                 self.queue.after(ms(self.rng.random_range(10..60)), keep);
             }
         }
@@ -652,7 +654,7 @@
         }
     }
 
-    fn newly_proved(&self, gate: usize, word: &Word) -> Option<Content> {
+    fn newly_proved(&self, gate: usize, word: &QuarantineUpdate) -> Option<RequestDigest> {
         let proved = self.gates[gate].is_proved(self.queue.now(), &word.content);
         let ends = matches!(word.fact, Fact::Ended(..) | Fact::Proved);
         (proved && ends && !self.deaf_at_start()).then_some(word.content)
@@ -687,7 +689,7 @@
             return;
         }
         for word in &notes.words {
-            gate.quarantine.take(now, word);
+            gate.quarantine.apply(now, word);
         }
         for id in &notes.leaving {
             gate.roster.hear_leaving(id);
@@ -703,7 +705,7 @@
         if self.deaf_at_start() {
             return;
         }
-        let sums: Vec<u64> = self.gates.iter().map(|g| g.quarantine.sum()).collect();
+        let sums: Vec<u64> = self.gates.iter().map(|g| g.quarantine.checksum()).collect();
         for from in 0..self.gates.len() {
             for _ in 0..PEERS.min(self.gates.len() - 1) {
                 let to =
@@ -722,12 +724,12 @@
     fn compare(&mut self, a: usize, b: usize) {
         let now = self.queue.now();
         let (from_a, from_b) =
-            (self.gates[a].quarantine.table(now), self.gates[b].quarantine.table(now));
+            (self.gates[a].quarantine.updates(now), self.gates[b].quarantine.updates(now));
         from_a.iter().for_each(|word| {
-            self.gates[b].quarantine.take(now, word);
+            self.gates[b].quarantine.apply(now, word);
         });
         from_b.iter().for_each(|word| {
-            self.gates[a].quarantine.take(now, word);
+            self.gates[a].quarantine.apply(now, word);
         });
     }
 }
--- a/crates/daemon/src/gateway/call.rs
+++ b/crates/daemon/src/gateway/call.rs
@@ -4,10 +4,10 @@
 
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_core::verdict::Verdict;
-use ebonyloft_router::budget::Next;
+use ebonyloft_router::admission_queue::{QueueDecision, Ticket};
+use ebonyloft_router::budget::NextSend;
 use ebonyloft_router::catalog::{Server, ServerId};
-use ebonyloft_router::line::{Ticket, Turn};
-use ebonyloft_router::outcome::{Fate, Progress};
+use ebonyloft_router::outcome::{AttemptOutcome, Progress};
 use futures_channel::oneshot;
 use futures_util::future::select;
 use hyper::Response;
@@ -43,8 +43,8 @@
     fn close(self, shared: &Shared, intake: &Intake) {
         let service = &intake.service;
         if let Some((server, sent)) = self.send {
-            shared.plain.borrow_mut().dropped(&server.id, sent);
-            shared.line(service).dropped(sent);
+            shared.plain.borrow_mut().on_abandoned(&server.id, sent);
+            shared.line(service).on_abandoned(sent);
             let sent = Sent { server: &server, run: Run::Call, at: sent };
             quarantine::note_left(shared, intake, sent);
         }
@@ -58,12 +58,12 @@
 /// Waits in the admission queue; false if the call cannot meet its goal.
 async fn wait_for_admission(shared: &Shared, intake: &Intake, flight: &mut InFlight) -> bool {
     let joined = shared.now();
-    let ticket = shared.line(&intake.service).join(joined, intake.goal_at, intake.route().goal);
+    let ticket = shared.line(&intake.service).enqueue(joined, intake.goal_at, intake.route().goal);
     flight.ticket = Some(ticket);
     let turn = loop {
         let now = shared.now();
-        let turn = shared.line(&intake.service).turn(now, ticket);
-        let Turn::Wait(until) = turn else {
+        let turn = shared.line(&intake.service).decide(now, ticket);
+        let QueueDecision::Wait(until) = turn else {
             break turn;
         };
         let timer = std::pin::pin!(compio::time::sleep(until.since(now)));
@@ -71,12 +71,12 @@
     };
     flight.ticket = None;
     shared.line(&intake.service).leave(ticket);
-    if turn == Turn::Go {
+    if turn == QueueDecision::Go {
         return true;
     }
     let (window, waiting) = {
         let line = shared.line(&intake.service);
-        (line.window(), line.waiting())
+        (line.concurrency_limit(), line.waiting())
     };
     let ms = shared.now().since(joined).as_millis() as u64;
     let Basis { config, roster, age } = shared.basis();
@@ -140,7 +140,7 @@
         if last_failure.is_some() && !shared.line(&intake.service).has_room(now) {
             break;
         }
-        if !retries::afford(shared, intake, Next::Run) {
+        if !retries::afford(shared, intake, NextSend::Run) {
             cause = Cause::Budget;
             break;
         }
@@ -166,21 +166,21 @@
         let limit = send_limit(shared, intake, now, &progress, &tried);
         progress.begin();
         let (outcome, answer) = send_to(shared, intake, &server, limit, flight).await;
-        progress.note(outcome);
+        progress.record(outcome);
         let sent = Sent { server: &server, run: Run::Call, at: now };
         quarantine::note_fate(shared, intake, sent, outcome);
         tried.push(server.id.clone());
         match outcome {
-            Fate::Answered(status) => {
+            AttemptOutcome::Answered(status) => {
                 if status < 500 {
                     return answer.map_or_else(|| lost_response(&progress), complete_response);
                 }
                 last_failure = answer;
             }
-            Fate::Moved => gone(shared, &server.id),
-            Fate::Rejected => cause = Cause::Overload,
-            Fate::Lost => cause = Cause::Lost,
-            Fate::Unsent => {}
+            AttemptOutcome::Moved => gone(shared, &server.id),
+            AttemptOutcome::Rejected => cause = Cause::Overload,
+            AttemptOutcome::Lost => cause = Cause::Lost,
+            AttemptOutcome::Unsent => {}
         }
     }
     if let Some(answer) = last_failure {
@@ -220,7 +220,7 @@
 ) -> Duration {
     let time_left = intake.ends_at.since(now);
     let mut after_loss = *progress;
-    after_loss.note(Fate::Lost);
+    after_loss.record(AttemptOutcome::Lost);
     let has_others = shared.roster.borrow().ready(&intake.service).count() > tried.len() + 1;
     if after_loss.may_send() && has_others {
         return time_left.min(intake.route().goal.mul_f64(GIVE_UP_FRACTION));
@@ -234,17 +234,17 @@
     to: &Server,
     limit: Duration,
     flight: &mut InFlight,
-) -> (Fate, Option<Whole>) {
+) -> (AttemptOutcome, Option<Whole>) {
     let sent = shared.now();
-    shared.plain.borrow_mut().sent(sent, &to.id);
-    shared.line(&intake.service).sent(sent);
+    shared.plain.borrow_mut().on_sent(sent, &to.id);
+    shared.line(&intake.service).on_sent(sent);
     flight.send = Some((to.clone(), sent));
     let req = intake.request(sent, &to.id);
     let (outcome, answer) = send::whole(shared, intake, to, req, limit, Expect::Signature).await;
     let now = shared.now();
     let load = answer.as_ref().and_then(|a| a.reply.load);
-    shared.plain.borrow_mut().ended(now, &to.id, sent, outcome, load);
-    shared.line(&intake.service).ended(now, sent, outcome, load);
+    shared.plain.borrow_mut().on_ended(now, &to.id, sent, outcome, load);
+    shared.line(&intake.service).on_ended(now, sent, outcome, load);
     shared.line_waiters.wake_all();
     flight.send = None;
     let ms = now.since(sent).as_millis() as u64;
--- a/crates/daemon/src/gateway/digest.rs
+++ b/crates/daemon/src/gateway/digest.rs
@@ -1,7 +1,7 @@
 //! Keyed digests of request contents. All gateways of a system compute the same digest for the
 //! same request.
 
-use ebonyloft_router::content::Content;
+use ebonyloft_router::request_digest::RequestDigest;
 use hmac::{Hmac, Mac};
 use hyper::{Method, Uri};
 use sha2::Sha256;
@@ -27,7 +27,7 @@
         host: &str,
         uri: &Uri,
         body: &[u8],
-    ) -> Content {
+    ) -> RequestDigest {
         let mut mac = self.mac.clone();
         let target = uri.path_and_query().map_or("", |p| p.as_str());
         let (account, method) = (account.as_bytes(), method.as_str().as_bytes());
@@ -36,6 +36,6 @@
             mac.update(part);
         }
         let digest = mac.finalize().into_bytes();
-        Content::of(std::array::from_fn(|i| digest[i]))
+        RequestDigest::of(std::array::from_fn(|i| digest[i]))
     }
 }
--- a/crates/daemon/src/gateway/ingress.rs
+++ b/crates/daemon/src/gateway/ingress.rs
@@ -14,8 +14,8 @@
 use ebonyloft_platform::headers;
 use ebonyloft_router::accounts::Credential;
 use ebonyloft_router::catalog::{Config, Kind, Limits, Route};
-use ebonyloft_router::content::Content;
-use ebonyloft_router::{comeback, routes};
+use ebonyloft_router::request_digest::RequestDigest;
+use ebonyloft_router::{retry_after, routes};
 use futures_channel::oneshot;
 use futures_util::future::{Either, Shared as SharedFuture, select};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
@@ -129,7 +129,7 @@
         let away = shared.fresh.borrow().is_away();
         let is_transient = matches!(cause, Cause::NotReady | Cause::Unconfirmed);
         let time_left = caller.patience.filter(|_| is_transient);
-        let retry_after = comeback::wait(time_left, away, shared.draw());
+        let retry_after = retry_after::wait(time_left, away, shared.draw());
         let Basis { config, roster, age } = shared.basis();
         let ms = retry_after.as_millis() as u64;
         tracing::info!(id, ?cause, away, ms, config, roster, age, "request refused unread");
@@ -211,7 +211,7 @@
     let Some(account) = account else {
         return Ok((None, 0));
     };
-    let cost = account.quota.map_or(Some(0), |quota| quota.unit.weigh(caller.size));
+    let cost = account.quota.map_or(Some(0), |quota| quota.unit.cost(caller.size));
     Ok((Some(account.name.clone()), cost.ok_or(Cause::Malformed)?))
 }
 
@@ -247,7 +247,7 @@
 ) -> TimeBounds {
     let caller_timeout = caller.patience.unwrap_or(route.timeout);
     let mut deadlines = shared.patience.borrow_mut();
-    let spent = deadlines.spent(came_at, &route.name, route.timeout, caller_timeout);
+    let spent = deadlines.time_spent(came_at, &route.name, route.timeout, caller_timeout);
     TimeBounds {
         came_at,
         ends_at: came_at.after(caller_timeout.min(route.timeout)),
@@ -261,7 +261,7 @@
     parts: hyper::http::request::Parts,
     body: Bytes,
     caller: headers::Caller,
-    content: Content,
+    content: RequestDigest,
 ) -> Intake {
     let TimeBounds { came_at, ends_at, goal_at } = times;
     let Target { config, route, service } = target;
--- a/crates/daemon/src/gateway/intake.rs
+++ b/crates/daemon/src/gateway/intake.rs
@@ -10,7 +10,7 @@
 use ebonyloft_platform::headers::{self, Caller};
 use ebonyloft_router::budget::Arrivals;
 use ebonyloft_router::catalog::{Config, Kind, Route, ServerId};
-use ebonyloft_router::content::Content;
+use ebonyloft_router::request_digest::RequestDigest;
 use http::HeaderMap;
 use hyper::{Method, Request, Uri};
 
@@ -29,7 +29,7 @@
     /// What the caller's own headers say about the request.
     pub caller: Caller,
     /// Keyed digest of the request.
-    pub content: Content,
+    pub content: RequestDigest,
     /// The complete body.
     pub body: Bytes,
     /// The account that its key belongs to, if any.
--- a/crates/daemon/src/gateway/keys.rs
+++ b/crates/daemon/src/gateway/keys.rs
@@ -62,7 +62,7 @@
         // Accounts were removed from the configuration: a request accepted under one may run.
         (None, _) => true,
         (Some(accounts), Credential::Key(key)) => {
-            accounts.of_key(key).is_some_and(|a| a.name == *name)
+            accounts.find_by_key(key).is_some_and(|a| a.name == *name)
         }
         (Some(_), _) => false,
     };
--- a/crates/daemon/src/gateway/limits.rs
+++ b/crates/daemon/src/gateway/limits.rs
@@ -8,8 +8,8 @@
 
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::ServerId;
-use ebonyloft_router::limits::{Limit, Named};
-use ebonyloft_router::quota::Key;
+use ebonyloft_router::limits::{Limit, LimitUpdate};
+use ebonyloft_router::quota::LimitKey;
 
 use super::quota::{self, Shortage};
 use super::shared::{Basis, Shared};
@@ -27,14 +27,14 @@
     let Some(limit) = shared.limits.borrow().of(id) else {
         return true;
     };
-    let key = Key::Server(id.clone());
+    let key = LimitKey::Server(id.clone());
     let acquired = quota::acquire(shared, &key, need, Some(limit), 1).await;
     if let Err(shortage) = acquired {
         let until = match shortage {
             Shortage::Over(at) => at.max(shared.now().after(BACKOFF_MIN)),
             Shortage::Unknown => shared.now().after(UNKNOWN_BACKOFF),
         };
-        shared.borrower.borrow_mut().refused(&key, until, until);
+        shared.borrower.borrow_mut().on_exhausted(&key, until, until);
         tracing::info!(
             server = %id, limit = limit.0, need, short = ?shortage,
             "backend server skipped: its limit is used up or its owner silent"
@@ -47,13 +47,14 @@
 /// Until when a server's limit is known to be used up, if it is.
 pub fn used_up_until(shared: &Shared, id: &ServerId) -> Option<Timestamp> {
     shared.limits.borrow().of(id)?;
-    let (until, _) = shared.borrower.borrow().over(shared.now(), &Key::Server(id.clone()))?;
+    let (until, _) =
+        shared.borrower.borrow().exhausted(shared.now(), &LimitKey::Server(id.clone()))?;
     Some(until)
 }
 
 /// Handles an answer to a request sent at `sent`, which names a limit or none.
 pub fn on_answer(shared: &Shared, id: &ServerId, sent: Timestamp, limit: Option<Limit>) {
-    let update = shared.limits.borrow_mut().answered(shared.now(), id, sent, limit);
+    let update = shared.limits.borrow_mut().on_answer(shared.now(), id, sent, limit);
     if let Some(report) = update {
         log_change(shared, &report, "answer");
         shared.notes.borrow_mut().limits.push(report);
@@ -62,25 +63,29 @@
 }
 
 /// Applies a peer's report of a server's limit.
-pub fn hear(shared: &Shared, report: &Named, peer: &str) {
+pub fn hear(shared: &Shared, report: &LimitUpdate, peer: &str) {
     // Ignored for a server that is already gone, since nothing would remove its limit again.
     let known = shared.roster.borrow().get(&report.server).is_some();
-    if known && shared.limits.borrow_mut().hear(shared.now(), report) {
+    if known && shared.limits.borrow_mut().on_update(shared.now(), report) {
         log_change(shared, report, peer);
     }
 }
 
 /// Learns a server's limit from a peer's request for tokens, which may name a newer one than is
 /// known here.
-pub fn learn_from_request(shared: &Shared, key: &Key, limit: Option<Limit>) {
-    if let (Key::Server(id), Some(limit)) = (key, limit) {
-        hear(shared, &Named { server: id.clone(), version: 1, limit: Some(limit) }, "question");
+pub fn learn_from_request(shared: &Shared, key: &LimitKey, limit: Option<Limit>) {
+    if let (LimitKey::Server(id), Some(limit)) = (key, limit) {
+        hear(
+            shared,
+            &LimitUpdate { server: id.clone(), version: 1, limit: Some(limit) },
+            "question",
+        );
     }
 }
 
-fn log_change(shared: &Shared, report: &Named, from: &str) {
+fn log_change(shared: &Shared, report: &LimitUpdate, from: &str) {
     let Basis { roster, age, .. } = shared.basis();
-    let Named { server, version, limit } = report;
+    let LimitUpdate { server, version, limit } = report;
     let limit = limit.map(|limit| limit.0);
     tracing::info!(%server, version, limit, from, roster, age, "limit of a backend server changed");
     shared.metrics.count("gateway.limit.changed", 1);
--- a/crates/daemon/src/gateway/notes.rs
+++ b/crates/daemon/src/gateway/notes.rs
@@ -87,7 +87,7 @@
 pub fn checksum(shared: &Shared) -> u64 {
     let roster = shared.roster.borrow();
     let leaving = roster.said().fold(0, |sum, id| sum ^ id.number());
-    shared.quarantine.borrow().sum() ^ leaving ^ shared.limits.borrow().sum()
+    shared.quarantine.borrow().checksum() ^ leaving ^ shared.limits.borrow().checksum()
 }
 
 /// Compares a peer's checksum with this gateway's, and starts an exchange if they have differed
@@ -100,8 +100,8 @@
 }
 
 fn full_state(shared: &Shared) -> Notes {
-    let words = shared.quarantine.borrow().table(shared.now());
-    let limits = shared.limits.borrow().table();
+    let words = shared.quarantine.borrow().updates(shared.now());
+    let limits = shared.limits.borrow().updates();
     Notes { words, leaving: shared.roster.borrow().said().cloned().collect(), limits }
 }
 
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -197,7 +197,7 @@
 fn store_link(shared: &Shared) -> Link {
     let is_useful = shared.role.borrow().follows() && shared.roster.borrow().is_complete();
     match is_useful {
-        true => shared.fresh.borrow().link(shared.now(), shared.node().bounds.silence()),
+        true => shared.fresh.borrow().link(shared.now(), shared.node().bounds.staleness_bound()),
         false => Link::Indirect,
     }
 }
--- a/crates/daemon/src/gateway/quarantine.rs
+++ b/crates/daemon/src/gateway/quarantine.rs
@@ -16,10 +16,14 @@
 use ebonyloft_platform::engine;
 use ebonyloft_platform::store::{Item, StoreError, Write};
 use ebonyloft_router::catalog::{Server, ServerId};
-use ebonyloft_router::content::Content;
-use ebonyloft_router::losses::{CALL_WAIT, Found, Loss, STREAM_WAIT};
-use ebonyloft_router::outcome::Fate;
-use ebonyloft_router::quarantine::{Change, Fact, PROVED_LIFE, SUSPECT_LIFE, Standing, Word};
+use ebonyloft_router::lost_attempts::{
+    CALL_PROBE_DELAY, LostAttempt, ProbeResult, STREAM_PROBE_DELAY,
+};
+use ebonyloft_router::outcome::AttemptOutcome;
+use ebonyloft_router::quarantine::{
+    CONFIRMED_TTL, Change, Fact, QuarantineState, QuarantineUpdate, SUSPECT_TTL,
+};
+use ebonyloft_router::request_digest::RequestDigest;
 use futures_util::future::{Either, select};
 use hyper::{Response, StatusCode};
 use serde::{Deserialize, Serialize};
@@ -70,7 +74,7 @@
 
 /// The only probe of a suspected request in the whole system.
 pub struct Probe {
-    content: Content,
+    content: RequestDigest,
     number: u64,
 }
 
@@ -102,23 +106,23 @@
     let standing = loop {
         let now = shared.now();
         let standing = shared.quarantine.borrow().standing(now, &intake.content);
-        if !matches!(standing, Standing::Held(_)) || now >= until {
+        if !matches!(standing, QuarantineState::Held(_)) || now >= until {
             break standing;
         }
         compio::time::sleep(INQUIRY_POLL).await;
     };
     let now = shared.now();
     let (cause, until) = match standing {
-        Standing::Free => return Ok(None),
-        Standing::Suspect => {
+        QuarantineState::Free => return Ok(None),
+        QuarantineState::Suspect => {
             let probe = Probe { content: intake.content, number: shared.draw_number() };
             publish_fact(shared, probe.content, Fact::Trying(probe.number));
             return Ok(Some(probe));
         }
-        Standing::Held(until) => (Cause::Suspect, until),
-        Standing::Proved(until) => (Cause::Quarantined, until),
+        QuarantineState::Held(until) => (Cause::Suspect, until),
+        QuarantineState::Confirmed(until) => (Cause::Quarantined, until),
     };
-    let endings = shared.quarantine.borrow().endings(&intake.content).len();
+    let endings = shared.quarantine.borrow().crashes(&intake.content).len();
     let Basis { config, roster, age } = shared.basis();
     let ms = until.since(now).as_millis() as u64;
     tracing::info!(
@@ -131,9 +135,9 @@
 
 /// Is a request confirmed to crash servers? Checked again before each send, since the request may
 /// have waited.
-pub fn is_proved(shared: &Shared, content: &Content) -> bool {
+pub fn is_proved(shared: &Shared, content: &RequestDigest) -> bool {
     let standing = shared.quarantine.borrow().standing(shared.now(), content);
-    matches!(standing, Standing::Proved(_))
+    matches!(standing, QuarantineState::Confirmed(_))
 }
 
 /// How far a run had come when it broke off.
@@ -163,14 +167,14 @@
     let (now, server) = (shared.now(), sent.server);
     // A server that announced its leaving was not crashed by the request.
     let is_leaving = shared.roster.borrow().has_left(&server.id.name);
-    if is_leaving || shared.quarantine.borrow().is_sound(now, &intake.content) {
+    if is_leaving || shared.quarantine.borrow().is_healthy(now, &intake.content) {
         return;
     }
     let early = sent.run != Run::Advanced;
-    let wait = if sent.run == Run::Call { CALL_WAIT } else { STREAM_WAIT };
+    let wait = if sent.run == Run::Call { CALL_PROBE_DELAY } else { STREAM_PROBE_DELAY };
     let number = shared.draw_number();
-    let loss = Loss { content: intake.content, early, sent: sent.at, at: now, number };
-    shared.losses.borrow_mut().lost(server, loss, wait);
+    let loss = LostAttempt { content: intake.content, early, sent: sent.at, at: now, number };
+    shared.losses.borrow_mut().add(server, loss, wait);
     if sent.run == Run::Begun {
         publish_fact(shared, intake.content, Fact::Lost(number));
     }
@@ -188,16 +192,19 @@
 
 /// Handles the outcome of a send: a lost attempt is checked, and a complete answer clears the
 /// request.
-pub fn note_fate(shared: &Shared, intake: &Intake, sent: Sent<'_>, fate: Fate) {
+pub fn note_fate(shared: &Shared, intake: &Intake, sent: Sent<'_>, fate: AttemptOutcome) {
     match fate {
-        Fate::Lost => note_loss(shared, intake, sent),
-        Fate::Answered(status) if status < 500 => on_served(shared, &intake.content),
-        Fate::Answered(_) | Fate::Moved | Fate::Rejected | Fate::Unsent => {}
+        AttemptOutcome::Lost => note_loss(shared, intake, sent),
+        AttemptOutcome::Answered(status) if status < 500 => on_served(shared, &intake.content),
+        AttemptOutcome::Answered(_)
+        | AttemptOutcome::Moved
+        | AttemptOutcome::Rejected
+        | AttemptOutcome::Unsent => {}
     }
 }
 
-fn on_served(shared: &Shared, content: &Content) {
-    let is_new = shared.quarantine.borrow_mut().served_here(shared.now(), *content);
+fn on_served(shared: &Shared, content: &RequestDigest) {
+    let is_new = shared.quarantine.borrow_mut().on_served(shared.now(), *content);
     if is_new {
         publish_fact(shared, *content, Fact::Served);
     }
@@ -205,30 +212,30 @@
 
 /// Waits, for a limited time, until it is known whether the server of a lost attempt of this
 /// request crashed.
-pub async fn settled(shared: &Shared, content: &Content) {
+pub async fn settled(shared: &Shared, content: &RequestDigest) {
     let until = shared.now().after(INQUIRY_WAIT);
-    while shared.now() < until && shared.losses.borrow().is_open(content) {
+    while shared.now() < until && shared.losses.borrow().is_investigated(content) {
         compio::time::sleep(INQUIRY_POLL).await;
     }
 }
 
 /// Handles an answer to what was sent at `sent`, which shows that the server was alive.
 pub fn on_alive(shared: &Shared, id: &ServerId, sent: Timestamp) {
-    let cleared = shared.losses.borrow_mut().alive(id, sent);
+    let cleared = shared.losses.borrow_mut().on_answer(id, sent);
     let early = cleared.iter().filter(|loss| loss.early);
     early.for_each(|loss| publish_fact(shared, loss.content, Fact::Over(loss.number)));
 }
 
 /// Handles the end of a server's incarnation that did not announce its leaving.
 pub fn on_ended(shared: &Shared, id: &ServerId, how: &'static str) {
-    let losses = shared.losses.borrow_mut().ended(id);
+    let losses = shared.losses.borrow_mut().on_crash(id);
     record_crashes(shared, id, losses, how);
 }
 
 /// Handles a registration that is gone, or that names another incarnation now.
 pub fn note_gone(shared: &Shared, name: &str) {
     let current = shared.roster.borrow().named(name).map(|s| s.id.clone());
-    let ended = shared.losses.borrow_mut().ended_but(name, current.as_ref());
+    let ended = shared.losses.borrow_mut().on_crash_except(name, current.as_ref());
     for (id, losses) in ended {
         record_crashes(shared, &id, losses, "registration");
     }
@@ -241,9 +248,9 @@
     replaced.iter().for_each(|previous| on_ended(shared, previous, "address"));
 }
 
-fn record_crashes(shared: &Shared, id: &ServerId, losses: Vec<Loss>, how: &'static str) {
+fn record_crashes(shared: &Shared, id: &ServerId, losses: Vec<LostAttempt>, how: &'static str) {
     for loss in losses {
-        if shared.quarantine.borrow().is_sound(loss.at, &loss.content) {
+        if shared.quarantine.borrow().is_healthy(loss.at, &loss.content) {
             continue;
         }
         let age = shared.now().since(loss.at).as_millis() as u64;
@@ -252,43 +259,43 @@
             "backend server crashed under a request"
         );
         let fact = Fact::Ended(id.clone(), loss.early);
-        publish(shared, Word { content: loss.content, age, fact });
+        publish(shared, QuarantineUpdate { content: loss.content, age, fact });
         if loss.early {
             publish_fact(shared, loss.content, Fact::Over(loss.number));
         }
     }
 }
 
-fn publish_fact(shared: &Shared, content: Content, fact: Fact) {
-    publish(shared, Word { content, age: 0, fact });
+fn publish_fact(shared: &Shared, content: RequestDigest, fact: Fact) {
+    publish(shared, QuarantineUpdate { content, age: 0, fact });
 }
 
 /// Applies an observation made here and publishes it to all gateways.
-fn publish(shared: &Shared, report: Word) {
+fn publish(shared: &Shared, report: QuarantineUpdate) {
     take(shared, &report, None);
     shared.notes.borrow_mut().words.push(report);
     shared.inquiries.wake_all();
 }
 
 /// Applies an observation made here, or reported by a peer or the store.
-pub fn take(shared: &Shared, report: &Word, peer: Option<&str>) {
-    let change = shared.quarantine.borrow_mut().take(shared.now(), report);
+pub fn take(shared: &Shared, report: &QuarantineUpdate, peer: Option<&str>) {
+    let change = shared.quarantine.borrow_mut().apply(shared.now(), report);
     let (content, fact, age) = (report.content, &report.fact, report.age);
     match change {
         Change::Nothing => {}
         Change::Suspected => {
-            let endings = shared.quarantine.borrow().endings(&content).len();
+            let endings = shared.quarantine.borrow().crashes(&content).len();
             tracing::info!(
                 %content, ?fact, age, peer, endings, "request suspected of crashing servers"
             );
-            let close_to_confirmed = shared.quarantine.borrow().is_close(&content);
+            let close_to_confirmed = shared.quarantine.borrow().is_nearly_confirmed(&content);
             if close_to_confirmed && (peer.is_none() || is_first_gateway(shared)) {
                 shared.proofs.borrow_mut().push(content);
             }
         }
-        Change::Proved => {
+        Change::Confirmed => {
             let quarantine = shared.quarantine.borrow();
-            let crashes = quarantine.endings(&content).iter().map(|e| e.server.to_string());
+            let crashes = quarantine.crashes(&content).iter().map(|e| e.server.to_string());
             let servers = crashes.collect::<Vec<_>>().join(" ");
             tracing::warn!(
                 %content, ?fact, age, peer, servers, "request confirmed to crash servers"
@@ -315,7 +322,7 @@
     loop {
         let now = shared.now();
         let next_check =
-            shared.losses.borrow().next_ask().map_or(UPKEEP_INTERVAL, |at| at.since(now));
+            shared.losses.borrow().next_probe_at().map_or(UPKEEP_INTERVAL, |at| at.since(now));
         let timer = std::pin::pin!(compio::time::sleep(next_check.min(UPKEEP_INTERVAL)));
         if let Either::Left(_) = select(shared.inquiries.wake(), timer).await {
             start_checks(&shared);
@@ -327,7 +334,7 @@
 }
 
 fn start_checks(shared: &Rc<Shared>) {
-    for (id, addr) in shared.losses.borrow_mut().ask(shared.now()) {
+    for (id, addr) in shared.losses.borrow_mut().due_probes(shared.now()) {
         compio::runtime::spawn(check_alive(shared.clone(), id, addr)).detach();
     }
     for content in shared.proofs.take() {
@@ -357,30 +364,30 @@
     let result =
         timeout(LIVENESS_TIMEOUT, shared.pool.check_address(addr, engine::report(&id))).await;
     let found = match result {
-        Ok(Reachability::Answered(StatusCode::MISDIRECTED_REQUEST)) => Found::Other,
-        Ok(Reachability::Answered(_)) => Found::Alive,
-        Ok(Reachability::Refused) => Found::Nobody,
-        Ok(Reachability::Broken) | Err(_) => Found::Silence,
+        Ok(Reachability::Answered(StatusCode::MISDIRECTED_REQUEST)) => ProbeResult::Other,
+        Ok(Reachability::Answered(_)) => ProbeResult::Alive,
+        Ok(Reachability::Refused) => ProbeResult::Nobody,
+        Ok(Reachability::Broken) | Err(_) => ProbeResult::Silence,
     };
-    let ended = shared.losses.borrow_mut().found(&id, found);
+    let ended = shared.losses.borrow_mut().on_probe_result(&id, found);
     tracing::info!(server = %id, ?found, ended, "liveness of a backend server checked");
     shared.metrics.count("gateway.quarantine.asked", 1);
-    if found == Found::Alive {
+    if found == ProbeResult::Alive {
         on_alive(&shared, &id, sent);
     }
     if ended {
-        on_ended(&shared, &id, if found == Found::Other { "address" } else { "port" });
+        on_ended(&shared, &id, if found == ProbeResult::Other { "address" } else { "port" });
     }
 }
 
 /// Should the store keep a record of this request?
-fn should_store(shared: &Shared, content: &Content) -> bool {
-    is_proved(shared, content) || shared.quarantine.borrow().is_close(content)
+fn should_store(shared: &Shared, content: &RequestDigest) -> bool {
+    is_proved(shared, content) || shared.quarantine.borrow().is_nearly_confirmed(content)
 }
 
 /// Writes the record of a confirmed request, or of one close to that, to the store; repeated on
 /// failure while the request stays so. On a conflict another gateway has written it.
-async fn store_record(shared: Rc<Shared>, content: Content) {
+async fn store_record(shared: Rc<Shared>, content: RequestDigest) {
     let mut backoff = WRITE_BACKOFF;
     while should_store(&shared, &content) {
         match try_store_record(&shared, content).await {
@@ -392,13 +399,13 @@
     }
 }
 
-async fn try_store_record(shared: &Shared, content: Content) -> Result<(), StoreError> {
+async fn try_store_record(shared: &Shared, content: RequestDigest) -> Result<(), StoreError> {
     let (prefix, ttl) = match is_proved(shared, &content) {
-        true => (PREFIX, PROVED_LIFE),
-        false => (SUSPECTS, SUSPECT_LIFE),
+        true => (PREFIX, CONFIRMED_TTL),
+        false => (SUSPECTS, SUSPECT_TTL),
     };
     let key = format!("{prefix}{:016x}{:016x}", content.0, content.1);
-    let crashes = shared.quarantine.borrow().endings(&content).to_vec();
+    let crashes = shared.quarantine.borrow().crashes(&content).to_vec();
     let servers = crashes.iter().map(|e| e.server.to_string()).collect();
     let endings = crashes.into_iter().map(|e| (e.server, e.early, e.at)).collect();
     let record = Record { servers, endings, by: shared.node().name.clone(), release: false };
@@ -443,24 +450,24 @@
         if fact == Fact::Proved && is_proved(&self.0, &content) {
             return;
         }
-        take(&self.0, &Word { content, age: 0, fact }, Some("store"));
+        take(&self.0, &QuarantineUpdate { content, age: 0, fact }, Some("store"));
     }
 }
 
 impl ProofSink {
-    fn suspect(&self, content: Content, value: &[u8]) {
+    fn suspect(&self, content: RequestDigest, value: &[u8]) {
         let Ok(record) = serde_json::from_slice::<Record>(value) else {
             return tracing::warn!(%content, "invalid record of a suspected request");
         };
         for (server, early, at) in record.endings {
             let age = self.0.now().since(at).as_millis() as u64;
-            let report = Word { content, age, fact: Fact::Ended(server, early) };
+            let report = QuarantineUpdate { content, age, fact: Fact::Ended(server, early) };
             take(&self.0, &report, Some("store"));
         }
     }
 }
 
-fn parse(digits: &str) -> Option<Content> {
+fn parse(digits: &str) -> Option<RequestDigest> {
     let all = u128::from_str_radix(digits, 16).ok().filter(|_| digits.len() == 32)?;
-    Some(Content::of(all.to_be_bytes()))
+    Some(RequestDigest::of(all.to_be_bytes()))
 }
--- a/crates/daemon/src/gateway/quota.rs
+++ b/crates/daemon/src/gateway/quota.rs
@@ -15,9 +15,11 @@
 use ebonyloft_router::accounts::{Account, Quota};
 use ebonyloft_router::limits::{EXCESS as SERVER_EXCESS, Limit};
 use ebonyloft_router::node::Excess;
-use ebonyloft_router::quota::homes::{Missing, Votes, gateway_number};
-use ebonyloft_router::quota::lender::spare;
-use ebonyloft_router::quota::{Answer, Ask, Key, Reply};
+use ebonyloft_router::quota::issuer::standby_share;
+use ebonyloft_router::quota::ownership::{
+    ReachabilityReports, UnreachableGateways, gateway_number,
+};
+use ebonyloft_router::quota::{LeaseDecision, LeaseRequest, LeaseResponse, LimitKey};
 use ebonyloft_router::share::{News, Shares};
 use ebonyloft_router::zones::Scope;
 use futures_channel::oneshot;
@@ -46,7 +48,7 @@
 /// Tokens that a request took from its account's quota.
 #[derive(Debug)]
 pub struct Charge {
-    key: Key,
+    key: LimitKey,
     tokens: u64,
 }
 
@@ -54,7 +56,7 @@
     /// Ends the charge; the tokens of a request that did not run are given back.
     pub fn close(self, shared: &Shared, ran: bool) {
         if !ran {
-            shared.borrower.borrow_mut().give_back(shared.now(), &self.key, self.tokens);
+            shared.borrower.borrow_mut().restore(shared.now(), &self.key, self.tokens);
         }
     }
 }
@@ -87,7 +89,7 @@
     let (Some(account), tokens @ 1..) = (intake.account.clone(), intake.cost) else {
         return Ok(None);
     };
-    let key = Key::Account(account);
+    let key = LimitKey::Account(account);
     match acquire(shared, &key, tokens, None, ATTEMPTS_MAX).await {
         Ok(()) => Ok(Some(Charge { key, tokens })),
         Err(Shortage::Over(retry_at)) => Err(refuse(shared, intake, Cause::OverQuota, retry_at)),
@@ -102,41 +104,43 @@
 /// `attempts` times and is told a server's limit.
 pub async fn acquire(
     shared: &Shared,
-    key: &Key,
+    key: &LimitKey,
     need: u64,
     limit: Option<Limit>,
     attempts: usize,
 ) -> Result<(), Shortage> {
-    if shared.borrower.borrow_mut().take(shared.now(), key, need) {
+    if shared.borrower.borrow_mut().spend(shared.now(), key, need) {
         return Ok(());
     }
     let mut unanswered = 0;
     // Every attempt has the same number, so that an owner whose answer was lost grants nothing
     // more.
-    let more = shared.borrower.borrow().more(key);
-    let ask = Ask { number: shared.draw_number(), key: key.clone(), need, more, limit };
+    let more = shared.borrower.borrow().prefetch(key);
+    let ask = LeaseRequest { number: shared.draw_number(), key: key.clone(), need, more, limit };
     let asked_at = shared.now();
     for _ in 0..attempts {
-        let used_up = shared.borrower.borrow().over(shared.now(), key);
+        let used_up = shared.borrower.borrow().exhausted(shared.now(), key);
         if let Some((_, retry_at)) = used_up {
             return Err(Shortage::Over(retry_at));
         }
         match ask_owner(shared, &ask).await {
-            Some(Reply::Lent(tokens)) => {
+            Some(LeaseDecision::Lent(tokens)) => {
                 let mut borrower = shared.borrower.borrow_mut();
-                borrower.lent(key, asked_at, tokens);
-                if borrower.take_lent(shared.now(), key, need) {
+                borrower.on_granted(key, asked_at, tokens);
+                if borrower.spend_granted(shared.now(), key, need) {
                     return Ok(());
                 }
             }
-            Some(Reply::Over { room, back }) => {
+            Some(LeaseDecision::Over { room, back }) => {
                 let now = shared.now();
                 let after_ms = |ms: u32| now.after(Duration::from_millis(ms.into()));
-                shared.borrower.borrow_mut().refused(key, after_ms(room), after_ms(back));
+                shared.borrower.borrow_mut().on_exhausted(key, after_ms(room), after_ms(back));
                 return Err(Shortage::Over(after_ms(back)));
             }
-            Some(Reply::Elsewhere) if attempts > 1 => compio::time::sleep(OWNER_TIMEOUT).await,
-            Some(Reply::Elsewhere) => {}
+            Some(LeaseDecision::Elsewhere) if attempts > 1 => {
+                compio::time::sleep(OWNER_TIMEOUT).await
+            }
+            Some(LeaseDecision::Elsewhere) => {}
             None => unanswered += 1,
         }
     }
@@ -170,7 +174,7 @@
 }
 
 /// Sends a request for tokens to the owner, which may be this gateway.
-async fn ask_owner(shared: &Shared, ask: &Ask) -> Option<Reply> {
+async fn ask_owner(shared: &Shared, ask: &LeaseRequest) -> Option<LeaseDecision> {
     let owner_name = owner(shared, &ask.key)?;
     if owner_name == shared.node().name {
         return Some(grant(shared, ask));
@@ -185,20 +189,20 @@
 }
 
 /// Skips an owner that did not answer several times, which lost datagrams alone hardly explain.
-fn skip_owner(shared: &Shared, key: &Key, owner_name: &str) {
+fn skip_owner(shared: &Shared, key: &LimitKey, owner_name: &str) {
     tracing::info!(?key, home = owner_name, "owner of a quota or limit does not answer");
     let until = shared.now().after(SILENT_BACKOFF);
     shared.silent.borrow_mut().insert(gateway_number(owner_name), until);
 }
 
 /// Answers a peer's request for tokens.
-pub fn serve(shared: &Shared, from: SocketAddr, ask: &Ask) {
+pub fn serve(shared: &Shared, from: SocketAddr, ask: &LeaseRequest) {
     let reply = grant(shared, ask);
-    shared.post(from, News::Answer(Answer { number: ask.number, reply }));
+    shared.post(from, News::Answer(LeaseResponse { number: ask.number, reply }));
 }
 
 /// Hands an owner's answer to the request that waits for it.
-pub fn hear(shared: &Shared, answer: Answer) {
+pub fn hear(shared: &Shared, answer: LeaseResponse) {
     if let Some(sender) = shared.asked.borrow_mut().remove(&answer.number) {
         // The waiting request may have ended by now; its tokens expire.
         let _ = sender.send(answer.reply);
@@ -207,7 +211,7 @@
 
 /// Returns tokens that would expire unused. If the datagram is lost, they are granted to no
 /// gateway.
-fn return_unused(shared: &Shared, key: &Key, tokens: u64) {
+fn return_unused(shared: &Shared, key: &LimitKey, tokens: u64) {
     let Some(owner_name) = owner(shared, key) else {
         return;
     };
@@ -220,17 +224,17 @@
 }
 
 /// Takes back tokens that a peer did not use.
-pub fn take_back(shared: &Shared, key: &Key, tokens: u64) {
+pub fn take_back(shared: &Shared, key: &LimitKey, tokens: u64) {
     if let Some(rate) = rate_of(shared, key, None) {
         let share = granted_share(shared, key, &rate);
-        shared.lender.borrow_mut().take_back(key, tokens, share);
+        shared.lender.borrow_mut().return_unused(key, tokens, share);
     }
 }
 
-fn grant(shared: &Shared, ask: &Ask) -> Reply {
+fn grant(shared: &Shared, ask: &LeaseRequest) -> LeaseDecision {
     limits::learn_from_request(shared, &ask.key, ask.limit);
     let Some(rate) = rate_of(shared, &ask.key, ask.limit) else {
-        return Reply::Elsewhere;
+        return LeaseDecision::Elsewhere;
     };
     let (now, node) = (shared.now(), shared.node());
     let share = granted_share(shared, &ask.key, &rate);
@@ -239,11 +243,11 @@
     let is_first = ranked.first() == Some(&node.name);
     let mut lender = shared.lender.borrow_mut();
     lender.tick(now, fleet.edition());
-    let reply = lender.lend(now, ask, &rate, share, is_first);
+    let reply = lender.grant(now, ask, &rate, share, is_first);
     let level = lender.level(&ask.key).unwrap_or_default();
     let config = shared.basis().config;
     match reply {
-        Reply::Lent(_) => shared.metrics.count("gateway.quota.lent", 1),
+        LeaseDecision::Lent(_) => shared.metrics.count("gateway.quota.lent", 1),
         _ => tracing::info!(
             key = ?ask.key,
             need = ask.need,
@@ -261,10 +265,10 @@
 
 /// The rate of a quota or limit; for a server's limit, the stricter of the known and the reported
 /// one.
-fn rate_of(shared: &Shared, key: &Key, reported: Option<Limit>) -> Option<Rate> {
+fn rate_of(shared: &Shared, key: &LimitKey, reported: Option<Limit>) -> Option<Rate> {
     match key {
-        Key::Account(account) => Some(quota(shared, account)?.bound),
-        Key::Server(id) => {
+        LimitKey::Account(account) => Some(quota(shared, account)?.bound),
+        LimitKey::Server(id) => {
             let known = shared.limits.borrow().of(id);
             Some(known.into_iter().chain(reported).min()?.rate())
         }
@@ -272,10 +276,10 @@
 }
 
 /// How far a quota or limit may be exceeded.
-fn excess(shared: &Shared, key: &Key) -> Excess {
+fn excess(shared: &Shared, key: &LimitKey) -> Excess {
     match key {
-        Key::Account(_) => shared.node().bounds.excess,
-        Key::Server(_) => SERVER_EXCESS,
+        LimitKey::Account(_) => shared.node().bounds.excess,
+        LimitKey::Server(_) => SERVER_EXCESS,
     }
 }
 
@@ -286,18 +290,18 @@
 }
 
 /// The owner to ask, among the gateways that this one receives messages from.
-fn owner(shared: &Shared, key: &Key) -> Option<String> {
+fn owner(shared: &Shared, key: &LimitKey) -> Option<String> {
     let fleet = shared.fleet.borrow();
     let mut excluded = missing(shared);
     let silent = shared.silent.borrow();
     excluded.extend(
         silent.iter().filter(|(_, until)| **until > shared.now()).map(|(number, _)| number),
     );
-    shared.homes.borrow_mut().home(&fleet, key, &excluded)
+    shared.homes.borrow_mut().owner(&fleet, key, &excluded)
 }
 
 /// The share of a quota or limit that this gateway grants.
-fn granted_share(shared: &Shared, key: &Key, rate: &Rate) -> f64 {
+fn granted_share(shared: &Shared, key: &LimitKey, rate: &Rate) -> f64 {
     let (now, node, fleet) = (shared.now(), shared.node(), shared.fleet.borrow());
     let mut homes = shared.homes.borrow_mut();
     if shared.scope() == Scope::Zone {
@@ -306,22 +310,22 @@
         let ranked = homes.ranked(&fleet, key);
         return match ranked.iter().position(|name| *name == node.name) {
             Some(0) => 1.0,
-            Some(1) => spare(rate, &excess(shared, key)),
+            Some(1) => standby_share(rate, &excess(shared, key)),
             _ => 0.0,
         };
     }
     let shares = shared.shares.borrow();
     let own_unreachable = missing(shared);
     let views = ObservedViews { now, name: &node.name, own: &own_unreachable, shares: &shares };
-    homes.part(&fleet, key, &node.name, &views)
+    homes.share(&fleet, key, &node.name, &views)
 }
 
 /// Gateways that this one receives no messages from.
-pub fn missing(shared: &Shared) -> Missing {
+pub fn missing(shared: &Shared) -> UnreachableGateways {
     let (node, fleet) = (shared.node(), shared.fleet.borrow());
     match shared.scope() {
         Scope::All => shared.shares.borrow().missing(shared.now(), &fleet, &node.name),
-        Scope::Zone => Missing::new(),
+        Scope::Zone => UnreachableGateways::new(),
     }
 }
 
@@ -329,11 +333,11 @@
 /// no longer used.
 pub fn expire(shared: &Shared) {
     let now = shared.now();
-    let unused = shared.borrower.borrow_mut().unused(now, EXPIRY_MARGIN);
+    let unused = shared.borrower.borrow_mut().take_expiring(now, EXPIRY_MARGIN);
     unused.iter().for_each(|(key, tokens)| return_unused(shared, key, *tokens));
     shared.borrower.borrow_mut().expire(now);
     shared.lender.borrow_mut().tick(now, shared.fleet.borrow().edition());
-    let is_granted = |key: &Key| {
+    let is_granted = |key: &LimitKey| {
         rate_of(shared, key, None).is_some_and(|rate| granted_share(shared, key, &rate) > 0.0)
     };
     shared.lender.borrow_mut().retain(is_granted);
@@ -344,12 +348,12 @@
 struct ObservedViews<'a> {
     now: Timestamp,
     name: &'a str,
-    own: &'a Missing,
+    own: &'a UnreachableGateways,
     shares: &'a Shares,
 }
 
-impl Votes for ObservedViews<'_> {
-    fn missing(&self, name: &str) -> Option<&Missing> {
+impl ReachabilityReports for ObservedViews<'_> {
+    fn missing(&self, name: &str) -> Option<&UnreachableGateways> {
         if name == self.name {
             return Some(self.own);
         }
--- a/crates/daemon/src/gateway/retries.rs
+++ b/crates/daemon/src/gateway/retries.rs
@@ -2,7 +2,7 @@
 //!
 //! Decisions are made in `ebonyloft_router::budget`.
 
-use ebonyloft_router::budget::{Arrivals, Next};
+use ebonyloft_router::budget::{Arrivals, NextSend};
 
 use super::intake::Intake;
 use super::shared::Shared;
@@ -10,21 +10,21 @@
 /// Starts a request, which adds to its service's budget.
 pub fn begin(shared: &Shared, intake: &Intake) {
     let (now, node) = (shared.now(), shared.node());
-    shared.budget(&intake.service).earn(now, &node.bounds);
+    shared.budget(&intake.service).on_request(now, &node.bounds);
 }
 
 /// Reserves what the next send may cost; false if too little of the budget is left.
-pub fn afford(shared: &Shared, intake: &Intake, next: Next) -> bool {
+pub fn afford(shared: &Shared, intake: &Intake, next: NextSend) -> bool {
     let mut arrivals = intake.arrivals.get();
-    let Some(shortfall) = arrivals.lacks(next) else {
+    let Some(shortfall) = arrivals.required_retries(next) else {
         return true;
     };
     let (now, node, entries) = (shared.now(), shared.node(), shared.entries());
     let mut budget = shared.budget(&intake.service);
-    let granted = budget.hold(now, &node.bounds, entries, shortfall);
+    let granted = budget.reserve(now, &node.bounds, entries, shortfall);
     let (requests, extras, reserved) = budget.counts();
     if granted {
-        arrivals.take(shortfall);
+        arrivals.on_reserved(shortfall);
         intake.arrivals.set(arrivals);
     }
     if !granted || arrivals.count() > 0 {
@@ -42,29 +42,29 @@
 /// Commits the reserved budget as a request is sent.
 pub fn commit(shared: &Shared, intake: &Intake) {
     if update_arrivals(intake, Arrivals::send) {
-        shared.budget(&intake.service).spend(shared.now());
+        shared.budget(&intake.service).commit(shared.now());
     }
 }
 
 /// Undoes the commit of a send that reached no server.
 pub fn undo_commit(shared: &Shared, intake: &Intake) {
-    if update_arrivals(intake, Arrivals::unsend) {
-        shared.budget(&intake.service).take_back();
+    if update_arrivals(intake, Arrivals::on_undelivered) {
+        shared.budget(&intake.service).uncommit();
     }
 }
 
 /// Handles a prompt that an engine accepted; budget that is no longer needed is released.
 pub fn accepted(shared: &Shared, intake: &Intake) {
-    if update_arrivals(intake, Arrivals::accept) {
-        shared.budget(&intake.service).take_back();
+    if update_arrivals(intake, Arrivals::on_prompt_accepted) {
+        shared.budget(&intake.service).uncommit();
     }
-    let unneeded = update_arrivals(intake, Arrivals::spare);
+    let unneeded = update_arrivals(intake, Arrivals::drop_unneeded);
     shared.budget(&intake.service).release(unneeded);
 }
 
 /// Ends a request and releases what it still has reserved.
 pub fn close(shared: &Shared, intake: &Intake) {
-    let reserved = intake.arrivals.take().close();
+    let reserved = intake.arrivals.take().finish();
     shared.budget(&intake.service).release(reserved);
 }
 
--- a/crates/daemon/src/gateway/said.rs
+++ b/crates/daemon/src/gateway/said.rs
@@ -9,9 +9,9 @@
 use bytes::Bytes;
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_platform::headers;
+use ebonyloft_router::back_offs;
 use ebonyloft_router::catalog::{Server, ServerId};
 use ebonyloft_router::outcome::Reply;
-use ebonyloft_router::pauses;
 use hyper::{Request, StatusCode};
 
 use super::limits;
@@ -31,7 +31,7 @@
     }
     if let Some(pause) = reply.pause.filter(|_| !reply.moved) {
         let now = shared.now();
-        let (until, as_said) = shared.pauses.borrow_mut().note(now, to, pause);
+        let (until, as_said) = shared.pauses.borrow_mut().record(now, to, pause);
         let ms = until.since(now).as_millis() as u64;
         tracing::info!(server = %to, ms, ?pause, as_said, "backend server asked for a pause");
         shared.metrics.count("gateway.paused", 1);
@@ -55,7 +55,7 @@
     shared: &Shared,
     servers: impl Iterator<Item = &'a Server>,
 ) -> Option<Timestamp> {
-    pauses::soonest(servers.map(|s| paused_until(shared, &s.id)))
+    back_offs::first_available(servers.map(|s| paused_until(shared, &s.id)))
 }
 
 /// May a server be sent a request for which its limit was already acquired? Checked right before
--- a/crates/daemon/src/gateway/send.rs
+++ b/crates/daemon/src/gateway/send.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use ebonyloft_platform::headers;
 use ebonyloft_router::catalog::{Kind, Server};
-use ebonyloft_router::outcome::{Fate, Reply};
+use ebonyloft_router::outcome::{AttemptOutcome, Reply};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use hyper::{HeaderMap, Request, Response, StatusCode};
@@ -47,7 +47,7 @@
     to: &Server,
     req: Request<Bytes>,
     expect: Expect,
-) -> Result<Head, Fate> {
+) -> Result<Head, AttemptOutcome> {
     // A request that may run only once must not use a connection that the server may just be
     // closing.
     let idle_max = match intake.route().kind {
@@ -63,7 +63,7 @@
             id = intake.id(), server = %to.id, "not sent: the backend server is leaving or paused"
         );
         shared.pool.give(conn);
-        return Err(Fate::Unsent);
+        return Err(AttemptOutcome::Unsent);
     }
     if quarantine::is_proved(shared, &intake.content) {
         tracing::info!(
@@ -71,11 +71,11 @@
             "not sent: confirmed to crash servers"
         );
         shared.pool.give(conn);
-        return Err(Fate::Unsent);
+        return Err(AttemptOutcome::Unsent);
     }
     if !keys::may_send(shared, intake) {
         shared.pool.give(conn);
-        return Err(Fate::Unsent);
+        return Err(AttemptOutcome::Unsent);
     }
     let sent_at = shared.now();
     // The request counts as run from here on, even if its caller disconnects before the outcome is
@@ -122,20 +122,22 @@
     req: Request<Bytes>,
     limit: Duration,
     expect: Expect,
-) -> (Fate, Option<Whole>) {
+) -> (AttemptOutcome, Option<Whole>) {
     let attempt = async {
         let head = head(shared, intake, to, req, expect).await?;
         let Head { mut reply, response, conn } = head;
         reply.stamped |= expect == Expect::Handle;
-        let outcome = Fate::of(&reply, intake.caller.attempt.as_deref());
+        let outcome = AttemptOutcome::from_reply(&reply, intake.caller.attempt.as_deref());
         let (status, headers) = (response.status(), headers::returned(response.headers()));
         let body = match response.into_body().collect().await {
             Ok(body) => body.to_bytes(),
             // A rejection is known from its head alone.
-            Err(_) if outcome == Fate::Rejected || outcome == Fate::Moved => Bytes::new(),
-            Err(_) => return Err(Fate::Lost),
+            Err(_) if outcome == AttemptOutcome::Rejected || outcome == AttemptOutcome::Moved => {
+                Bytes::new()
+            }
+            Err(_) => return Err(AttemptOutcome::Lost),
         };
-        if outcome == Fate::Lost {
+        if outcome == AttemptOutcome::Lost {
             conn.close();
         } else {
             shared.pool.give(conn);
@@ -145,13 +147,13 @@
     match compio::time::timeout(limit, attempt).await {
         Ok(Ok((outcome, answer))) => (outcome, Some(answer)),
         Ok(Err(outcome)) => (outcome, None),
-        Err(_) => (Fate::Lost, None),
+        Err(_) => (AttemptOutcome::Lost, None),
     }
 }
 
-fn exchange_outcome(e: ExchangeError) -> Fate {
+fn exchange_outcome(e: ExchangeError) -> AttemptOutcome {
     match e {
-        ExchangeError::Unsent => Fate::Unsent,
-        ExchangeError::Lost => Fate::Lost,
+        ExchangeError::Unsent => AttemptOutcome::Unsent,
+        ExchangeError::Lost => AttemptOutcome::Lost,
     }
 }
--- a/crates/daemon/src/gateway/shared.rs
+++ b/crates/daemon/src/gateway/shared.rs
@@ -10,9 +10,11 @@
 use std::time::Duration;
 
 use ebonyloft_core::time::Timestamp;
+use ebonyloft_router::admission_queue::AdmissionQueue;
+use ebonyloft_router::back_offs::BackOffs;
 use ebonyloft_router::budget::Budget;
+use ebonyloft_router::caller_deadlines::CallerDeadlines;
 use ebonyloft_router::catalog::{Config, ServerId};
-use ebonyloft_router::content::Content;
 use ebonyloft_router::delegate::{Link, Role};
 use ebonyloft_router::drift::Drift;
 use ebonyloft_router::engines::Engines;
@@ -20,20 +22,18 @@
 use ebonyloft_router::freshness::Freshness;
 use ebonyloft_router::learned::{Learned, Service};
 use ebonyloft_router::limits::ServerLimits;
-use ebonyloft_router::line::Line;
-use ebonyloft_router::losses::Losses;
+use ebonyloft_router::lost_attempts::LostAttempts;
 use ebonyloft_router::node::Node;
-use ebonyloft_router::patience::Patience;
-use ebonyloft_router::pauses::Pauses;
-use ebonyloft_router::plain::Plain;
+use ebonyloft_router::plain_servers::PlainServers;
 use ebonyloft_router::prefill::Paces;
 use ebonyloft_router::pulls::Pulls;
 use ebonyloft_router::quarantine::Quarantine;
-use ebonyloft_router::quota::Reply;
-use ebonyloft_router::quota::borrower::Borrower;
-use ebonyloft_router::quota::homes::Homes;
-use ebonyloft_router::quota::lender::Lender;
+use ebonyloft_router::quota::LeaseDecision;
+use ebonyloft_router::quota::issuer::LeaseIssuer;
+use ebonyloft_router::quota::leases::TokenLeases;
+use ebonyloft_router::quota::ownership::Owners;
 use ebonyloft_router::recency::Recency;
+use ebonyloft_router::request_digest::RequestDigest;
 use ebonyloft_router::roster::Roster;
 use ebonyloft_router::share::{News, Notes, Shares, Work};
 use ebonyloft_router::zones::{self, Digests, Memory, Scope};
@@ -85,25 +85,25 @@
     /// True if the store's newest configuration could not be decoded.
     pub config_unreadable: Cell<bool>,
     /// Ranks the gateways that may own a quota or server limit.
-    pub homes: RefCell<Homes>,
+    pub homes: RefCell<Owners>,
     /// Tokens that this gateway grants to others, as owner or standby.
-    pub lender: RefCell<Lender>,
+    pub lender: RefCell<LeaseIssuer>,
     /// Tokens that this gateway has acquired.
-    pub borrower: RefCell<Borrower>,
+    pub borrower: RefCell<TokenLeases>,
     /// Owners that did not answer, by gateway number, and until when they are not asked.
     pub silent: RefCell<HashMap<u32, Timestamp>>,
     /// Token requests to owners that wait for an answer, by request number.
-    pub asked: RefCell<HashMap<u64, oneshot::Sender<Reply>>>,
+    pub asked: RefCell<HashMap<u64, oneshot::Sender<LeaseDecision>>>,
     /// When the server registry was last known to be current, and whether the store is reachable.
     pub fresh: RefCell<Freshness>,
     /// Deadlines that callers set, by route.
-    pub patience: RefCell<Patience>,
+    pub patience: RefCell<CallerDeadlines>,
     /// Admission queues of plain services, by service.
-    pub lines: RefCell<HashMap<String, Line>>,
+    pub lines: RefCell<HashMap<String, AdmissionQueue>>,
     /// Calls that wait in an admission queue.
     pub line_waiters: Waiters,
     /// Statistics of plain backend servers.
-    pub plain: RefCell<Plain>,
+    pub plain: RefCell<PlainServers>,
     /// Work of this gateway at model engines, and the requests that wait for one.
     pub engines: RefCell<Engines>,
     /// Speed factors of prefill engines.
@@ -132,19 +132,19 @@
     /// Configuration transfers to peers that are under way.
     pub uploads: Uploads,
     /// Back-offs that backend servers asked for.
-    pub pauses: RefCell<Pauses>,
+    pub pauses: RefCell<BackOffs>,
     /// Limits that backend servers report.
     pub limits: RefCell<ServerLimits>,
     /// Quarantine: requests suspected or confirmed to crash backend servers.
     pub quarantine: RefCell<Quarantine>,
     /// Lost attempts for which it is not known yet whether the server crashed.
-    pub losses: RefCell<Losses>,
+    pub losses: RefCell<LostAttempts>,
     /// Wakes the tasks that investigate lost attempts and broadcast gossip state.
     pub inquiries: Waiters,
     /// Gossip state to broadcast to all gateways.
     pub notes: RefCell<Notes>,
     /// Requests confirmed here to crash servers that are not written to the store yet.
-    pub proofs: RefCell<Vec<Content>>,
+    pub proofs: RefCell<Vec<RequestDigest>>,
     /// Peers whose gossip state differs from this gateway's, and since when.
     pub drift: RefCell<Drift>,
     /// True while no gateway is known to be the leader that orders engines.
@@ -192,7 +192,7 @@
             recency: RefCell::default(),
             config_unreadable: Cell::default(),
             homes: RefCell::default(),
-            lender: RefCell::new(Lender::new(clock.now())),
+            lender: RefCell::new(LeaseIssuer::new(clock.now())),
             borrower: RefCell::default(),
             silent: RefCell::default(),
             asked: RefCell::default(),
@@ -456,7 +456,7 @@
     }
 
     /// Admission queue of a plain service.
-    pub fn line(&self, service: &str) -> RefMut<'_, Line> {
+    pub fn line(&self, service: &str) -> RefMut<'_, AdmissionQueue> {
         RefMut::map(self.lines.borrow_mut(), |all| all.entry(service.to_owned()).or_default())
     }
 }
--- a/crates/daemon/src/gateway/stream.rs
+++ b/crates/daemon/src/gateway/stream.rs
@@ -19,11 +19,11 @@
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_core::verdict::Verdict;
 use ebonyloft_platform::headers;
-use ebonyloft_router::budget::Next;
+use ebonyloft_router::budget::NextSend;
 use ebonyloft_router::catalog::{Engine, Server, ServerId};
 use ebonyloft_router::engines;
 use ebonyloft_router::events::Splitter;
-use ebonyloft_router::outcome::{Fate, Progress};
+use ebonyloft_router::outcome::{AttemptOutcome, Progress};
 use ebonyloft_router::zones::Room;
 use futures_channel::oneshot;
 use http_body_util::BodyExt;
@@ -139,7 +139,7 @@
     out: &mut ResponseStream,
 ) -> Result<(), StreamError> {
     let engine = intake.config.service(&intake.service).and_then(|s| s.engine.clone());
-    let mut splitter = Splitter::behind(intake.caller.after);
+    let mut splitter = Splitter::resuming_after(intake.caller.after);
     let mut tried: Vec<ServerId> = Vec::new();
     let mut failure = None;
     let mut cause = Cause::NoServer;
@@ -152,7 +152,7 @@
             cause = refused;
             break;
         }
-        if !retries::afford(shared, intake, Next::Run) {
+        if !retries::afford(shared, intake, NextSend::Run) {
             cause = Cause::Budget;
             break;
         }
@@ -170,18 +170,18 @@
         state.open_attempt = Some((server.clone(), started_at));
         let (fate, answer) = attempt(shared, intake, &server, state, out, &mut splitter).await;
         let now = shared.now();
-        state.progress.note(fate);
+        state.progress.record(fate);
         let run = state.run_phase(now);
         state.open_attempt = None;
         quarantine::note_fate(shared, intake, Sent { server: &server, run, at: started_at }, fate);
         tracing::info!(
             id = intake.id(), content = %intake.content, server = %server.id, ?fate,
-            events = splitter.count(), last = splitter.last(), "stream attempt ended"
+            events = splitter.count(), last = splitter.last_id(), "stream attempt ended"
         );
-        if matches!(fate, Fate::Answered(200)) {
+        if matches!(fate, AttemptOutcome::Answered(200)) {
             return Ok(());
         }
-        if fate == Fate::Rejected {
+        if fate == AttemptOutcome::Rejected {
             // The prefilled prompt may still be fetched by another engine.
             state.drop_reservation(shared, now);
         } else {
@@ -189,23 +189,25 @@
         }
         tried.push(server.id.clone());
         match fate {
-            Fate::Answered(_) => failure = answer,
-            Fate::Moved => call::gone(shared, &server.id),
+            AttemptOutcome::Answered(_) => failure = answer,
+            AttemptOutcome::Moved => call::gone(shared, &server.id),
             // An engine that asked for a back-off gets no requests until it is over.
-            Fate::Rejected | Fate::Unsent if said::rests(shared, &server.id) => {
+            AttemptOutcome::Rejected | AttemptOutcome::Unsent
+                if said::rests(shared, &server.id) =>
+            {
                 cause = Cause::Overload;
             }
-            Fate::Rejected => {
+            AttemptOutcome::Rejected => {
                 cause = Cause::Overload;
                 shared.engines.borrow_mut().rejected(now, &server.id);
             }
-            Fate::Unsent | Fate::Lost => {
+            AttemptOutcome::Unsent | AttemptOutcome::Lost => {
                 cause = Cause::Lost;
                 shared.engines.borrow_mut().fault(now, &server.id);
             }
         }
-        splitter.restart();
-        if (fate, run) == (Fate::Lost, Run::Begun) {
+        splitter.discard_incomplete();
+        if (fate, run) == (AttemptOutcome::Lost, Run::Begun) {
             quarantine::settled(shared, &intake.content).await;
         }
     }
@@ -296,14 +298,14 @@
     state: &mut StreamState,
     out: &mut ResponseStream,
     splitter: &mut Splitter,
-) -> (Fate, Option<send::Whole>) {
+) -> (AttemptOutcome, Option<send::Whole>) {
     let now = shared.now();
     let mut req = intake.request(now, &server.id);
     let headers = req.headers_mut();
     state.set_headers(headers);
     if out.has_begun() {
         headers::set_priority(headers, RESUME_PRIORITY);
-        if let Some(last) = splitter.last() {
+        if let Some(last) = splitter.last_id() {
             headers::set_after(headers, last);
         }
     } else if now > intake.goal_at {
@@ -313,10 +315,10 @@
     let head = match with_stall_timeout(intake, sent).await {
         Some(Ok(head)) => head,
         Some(Err(fate)) => return (fate, None),
-        None => return (Fate::Lost, None),
+        None => return (AttemptOutcome::Lost, None),
     };
-    let fate = Fate::of(&head.reply, intake.caller.attempt.as_deref());
-    if fate != Fate::Answered(200) {
+    let fate = AttemptOutcome::from_reply(&head.reply, intake.caller.attempt.as_deref());
+    if fate != AttemptOutcome::Answered(200) {
         return (fate, read_failure(shared, head, fate).await);
     }
     state.mark_used();
@@ -334,7 +336,7 @@
 }
 
 /// Reads the whole body of an error response, so that it can be passed on.
-async fn read_failure(shared: &Shared, head: Head, fate: Fate) -> Option<send::Whole> {
+async fn read_failure(shared: &Shared, head: Head, fate: AttemptOutcome) -> Option<send::Whole> {
     let Head { reply, response, conn } = head;
     let (status, headers) = (response.status(), headers::returned(response.headers()));
     let read = compio::time::timeout(STALL_TIMEOUT, response.into_body().collect()).await;
@@ -342,10 +344,10 @@
         conn.close();
         return None;
     };
-    if fate != Fate::Lost {
+    if fate != AttemptOutcome::Lost {
         shared.pool.give(conn);
     }
-    matches!(fate, Fate::Answered(_)).then(|| send::Whole {
+    matches!(fate, AttemptOutcome::Answered(_)).then(|| send::Whole {
         status,
         headers,
         body: body.to_bytes(),
--- a/crates/daemon/src/gateway/stream/prefill.rs
+++ b/crates/daemon/src/gateway/stream/prefill.rs
@@ -4,9 +4,9 @@
 
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_platform::{engine, headers};
-use ebonyloft_router::budget::Next;
+use ebonyloft_router::budget::NextSend;
 use ebonyloft_router::catalog::{Server, Stage};
-use ebonyloft_router::outcome::Fate;
+use ebonyloft_router::outcome::AttemptOutcome;
 use ebonyloft_router::prefill::{self, Choice};
 use ebonyloft_router::share::Work;
 
@@ -88,7 +88,7 @@
         if !limits::take(shared, &server.id, 1).await {
             continue;
         }
-        if !retries::afford(shared, intake, Next::Prompt) {
+        if !retries::afford(shared, intake, NextSend::Prompt) {
             return;
         }
         if prefill_at(shared, intake, state, &server, ready_at, remote_engine.is_some()).await {
@@ -185,11 +185,11 @@
         engines.fault(done, &server.id);
     }
     drop(engines);
-    if fate == Fate::Lost {
+    if fate == AttemptOutcome::Lost {
         let sent = Sent { server, run: Run::Begun, at: now };
         quarantine::note_loss(shared, intake, sent);
     }
-    if fate == Fate::Moved {
+    if fate == AttemptOutcome::Moved {
         call::gone(shared, &server.id);
     }
     false
--- a/crates/daemon/src/gateway/stream/relay.rs
+++ b/crates/daemon/src/gateway/stream/relay.rs
@@ -3,7 +3,7 @@
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_platform::headers;
 use ebonyloft_router::events::Splitter;
-use ebonyloft_router::outcome::Fate;
+use ebonyloft_router::outcome::AttemptOutcome;
 use http_body_util::BodyExt;
 use hyper::body::Bytes;
 
@@ -22,7 +22,7 @@
     state: &mut StreamState,
     out: &mut ResponseStream,
     splitter: &mut Splitter,
-) -> Fate {
+) -> AttemptOutcome {
     let Head { response, conn, .. } = head;
     if !out.has_begun() {
         out.send_head(response.status(), headers::returned(response.headers()));
@@ -32,12 +32,12 @@
     let mut relay = Relay { shared, intake, state, out, splitter, last_event_at };
     loop {
         let frame = match with_stall_timeout(intake, body.frame()).await {
-            Some(None) if relay.splitter.is_partial() => return Fate::Lost,
+            Some(None) if relay.splitter.is_partial() => return AttemptOutcome::Lost,
             Some(None) => break,
             Some(Some(Ok(frame))) => frame,
             Some(Some(Err(_))) | None => {
                 conn.close();
-                return Fate::Lost;
+                return AttemptOutcome::Lost;
             }
         };
         if let Ok(bytes) = frame.into_data() {
@@ -45,7 +45,7 @@
         }
     }
     shared.pool.give(conn);
-    Fate::Answered(200)
+    AttemptOutcome::Answered(200)
 }
 
 struct Relay<'a> {
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -161,7 +161,7 @@
 
 /// Timeout of a watch: the time until the state that it confirms is too old to be used.
 fn watch_timeout(shared: &Shared) -> Duration {
-    let (now, silence) = (shared.now(), shared.node().bounds.silence());
+    let (now, silence) = (shared.now(), shared.node().bounds.staleness_bound());
     let list = shared.fresh.borrow().known_at().after(silence).since(now);
     match keys::bound(shared) {
         Some(bound) => list.min(shared.recency.borrow().confirm_by(bound).since(now)),
--- a/crates/daemon/tests/digest.rs
+++ b/crates/daemon/tests/digest.rs
@@ -1,10 +1,10 @@
 //! Tests of request digests.
 
-use ebonyloft_router::content::Content;
+use ebonyloft_router::request_digest::RequestDigest;
 use ebonyloftd::gateway::digest::Digester;
 use hyper::Method;
 
-fn digest(key: &[u8], method: &Method, host: &str, path: &str, body: &[u8]) -> Content {
+fn digest(key: &[u8], method: &Method, host: &str, path: &str, body: &[u8]) -> RequestDigest {
     Digester::new(key).content("", method, host, &path.parse().expect("a path"), body)
 }
 
--- a/crates/router/benches/accounts.rs
+++ b/crates/router/benches/accounts.rs
@@ -9,10 +9,10 @@
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::accounts::{Account, Accounts};
 use ebonyloft_router::fleet::{Fleet, Gateway};
-use ebonyloft_router::quota::borrower::Borrower;
-use ebonyloft_router::quota::homes::Homes;
-use ebonyloft_router::quota::lender::Lender;
-use ebonyloft_router::quota::{Ask, Key};
+use ebonyloft_router::quota::issuer::LeaseIssuer;
+use ebonyloft_router::quota::leases::TokenLeases;
+use ebonyloft_router::quota::ownership::Owners;
+use ebonyloft_router::quota::{LeaseRequest, LimitKey};
 
 fn accounts(count: usize) -> Accounts {
     let account = |n: usize| Account {
@@ -38,36 +38,41 @@
 fn look_up_key(c: &mut Criterion) {
     let all = accounts(18_000);
     let key = Digest::of(b"9000b");
-    c.bench_function("key of 36,000", |b| b.iter(|| black_box(&all).of_key(black_box(&key))));
+    c.bench_function("key of 36,000", |b| b.iter(|| black_box(&all).find_by_key(black_box(&key))));
     c.bench_function("digest of a key", |b| {
         b.iter(|| Digest::of(black_box(b"banfqasnmgkcuyj8pjbv")));
     });
 }
 
 fn decide_quota(c: &mut Criterion) {
-    let (fleet, account) = (fleet(410), Key::account("account-7"));
+    let (fleet, account) = (fleet(410), LimitKey::account("account-7"));
     let bound = Rate { rate: 1e12, burst: 1e12 };
     let now = Timestamp::from_millis(60_000);
-    let mut homes = Homes::default();
+    let mut homes = Owners::default();
     c.bench_function("home of an account, 410 gateways", |b| {
         b.iter(|| homes.ranked(black_box(&fleet), &account));
     });
-    let mut lender = Lender::new(Timestamp::default());
+    let mut lender = LeaseIssuer::new(Timestamp::default());
     let mut number = 0;
     c.bench_function("a loan", |b| {
         b.iter(|| {
             number += 1;
-            let ask =
-                Ask { number, key: Key::account("account-7"), need: 100, more: 0, limit: None };
+            let ask = LeaseRequest {
+                number,
+                key: LimitKey::account("account-7"),
+                need: 100,
+                more: 0,
+                limit: None,
+            };
             // The time moves on, so that grants of earlier iterations expire.
             let at = Timestamp::from_millis(60_000 + number / 4);
-            lender.lend(at, &ask, &bound, 1.0, true)
+            lender.grant(at, &ask, &bound, 1.0, true)
         });
     });
-    let mut borrower = Borrower::default();
-    borrower.lent(&account, now, u64::MAX / 2);
+    let mut borrower = TokenLeases::default();
+    borrower.on_granted(&account, now, u64::MAX / 2);
     c.bench_function("a request that is held here", |b| {
-        b.iter(|| borrower.take(now, &account, 100));
+        b.iter(|| borrower.spend(now, &account, 100));
     });
 }
 
--- a/crates/router/src/accounts.rs
+++ b/crates/router/src/accounts.rs
@@ -71,7 +71,7 @@
 
 impl Unit {
     /// Cost of a request of this size; `None` if the size is malformed or above `COST_MAX`.
-    pub fn weigh(self, size: Size) -> Option<u64> {
+    pub fn cost(self, size: Size) -> Option<u64> {
         match (self, size) {
             (Unit::Requests, _) => Some(1),
             (Unit::Tokens { plain }, Size::Unstated) => Some(plain),
@@ -92,7 +92,7 @@
 
 impl Accounts {
     /// Finds the account of a key.
-    pub fn of_key(&self, key: &Digest) -> Option<&Account> {
+    pub fn find_by_key(&self, key: &Digest) -> Option<&Account> {
         let prefix = |digest: &Digest| u64::from_be_bytes(std::array::from_fn(|i| digest.0[i]));
         let key_prefix = prefix(key);
         let first = self.keys.partition_point(|(digest, _)| prefix(digest) < key_prefix);
@@ -168,7 +168,9 @@
         return Identity::Anyone;
     };
     let identity = match credential {
-        Credential::Key(key) => accounts.of_key(key).map_or(Identity::Unknown, Identity::Account),
+        Credential::Key(key) => {
+            accounts.find_by_key(key).map_or(Identity::Unknown, Identity::Account)
+        }
         Credential::Absent | Credential::Malformed => Identity::Unidentified,
     };
     match (public, identity) {
--- a/crates/router/src/line.rs
+++ b/crates/router/src/admission_queue.rs
@@ -12,8 +12,8 @@
 
 use ebonyloft_core::time::Timestamp;
 
-use crate::outcome::{Fate, Load};
-use crate::plain::{INITIAL_MS, STUCK_AFTER};
+use crate::outcome::{AttemptOutcome, Load};
+use crate::plain_servers::{INITIAL_MS, STUCK_AFTER};
 
 /// Initial concurrency limit. A gateway under normal load has one or two calls in flight, and the limit grows
 /// by one per round of calls where that is not enough.
@@ -40,7 +40,7 @@
 
 /// Admission decision for a waiting call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Turn {
+pub enum QueueDecision {
     /// Send it now.
     Go,
     /// Wait for another call to end, at most until this time.
@@ -59,7 +59,7 @@
 
 /// Calls of one service at this gateway.
 #[derive(Clone, Debug)]
-pub struct Line {
+pub struct AdmissionQueue {
     limit: f64,
     in_flight: Vec<Timestamp>,
     waiting: BTreeMap<Ticket, Waiter>,
@@ -70,9 +70,9 @@
     decreased_at: Timestamp,
 }
 
-impl Default for Line {
+impl Default for AdmissionQueue {
     fn default() -> Self {
-        Line {
+        AdmissionQueue {
             limit: INITIAL_LIMIT,
             in_flight: Vec::new(),
             waiting: BTreeMap::new(),
@@ -83,9 +83,9 @@
     }
 }
 
-impl Line {
+impl AdmissionQueue {
     /// Adds a call. It is in time until `goal`, which is `length` after its caller started.
-    pub fn join(&mut self, now: Timestamp, goal: Timestamp, length: Duration) -> Ticket {
+    pub fn enqueue(&mut self, now: Timestamp, goal: Timestamp, length: Duration) -> Ticket {
         self.last_ticket += 1;
         let ticket = Ticket(self.last_ticket);
         let refuse_at = now.after(length.mul_f64(WAIT_FRACTION));
@@ -99,23 +99,23 @@
     }
 
     /// Decides what a waiting call does now.
-    pub fn turn(&self, now: Timestamp, ticket: Ticket) -> Turn {
+    pub fn decide(&self, now: Timestamp, ticket: Ticket) -> QueueDecision {
         let Some(waiter) = self.waiting.get(&ticket) else {
-            return Turn::Refuse;
+            return QueueDecision::Refuse;
         };
         let rank = |t: Ticket, w: &Waiter| (w.goal, t);
         let own_rank = rank(ticket, waiter);
         let ahead = self.waiting.iter().filter(|(t, w)| rank(**t, w) < own_rank).count() as f64;
         let shortfall = ahead + 1.0 - self.free_slots(now);
         if shortfall <= 0.0 {
-            return Turn::Go;
+            return QueueDecision::Go;
         }
         // One round of calls ends within the average duration.
         let starts_at = now.after(Duration::from_secs_f64(shortfall * self.mean_secs / self.limit));
         if now >= waiter.refuse_at || starts_at > waiter.refuse_at {
-            return Turn::Refuse;
+            return QueueDecision::Refuse;
         }
-        Turn::Wait(waiter.refuse_at)
+        QueueDecision::Wait(waiter.refuse_at)
     }
 
     /// Whether one more call can be sent now and no other one waits.
@@ -124,40 +124,46 @@
     }
 
     /// Records that a call was sent.
-    pub fn sent(&mut self, now: Timestamp) {
+    pub fn on_sent(&mut self, now: Timestamp) {
         self.in_flight.push(now);
     }
 
     /// Records the end of a call that was sent at `sent`, and adapts the limit.
-    pub fn ended(&mut self, now: Timestamp, sent: Timestamp, fate: Fate, load: Option<Load>) {
+    pub fn on_ended(
+        &mut self,
+        now: Timestamp,
+        sent: Timestamp,
+        fate: AttemptOutcome,
+        load: Option<Load>,
+    ) {
         let full = self.free_slots(now) < 1.0;
-        self.dropped(sent);
-        if let Fate::Answered(_) = fate {
+        self.on_abandoned(sent);
+        if let AttemptOutcome::Answered(_) = fate {
             let took = now.since(sent).as_secs_f64();
             self.mean_secs += NEW_WEIGHT * (took.min(STUCK_AFTER.as_secs_f64()) - self.mean_secs);
         }
         let queue = load.map_or(0.0, |l| f64::from(l.waiting) / f64::from(l.slots.max(1)));
         match fate {
-            Fate::Rejected => self.decrease(now, sent, REJECTED_FACTOR),
+            AttemptOutcome::Rejected => self.decrease(now, sent, REJECTED_FACTOR),
             _ if queue > LONG_QUEUE => self.decrease(now, sent, LONG_QUEUE_FACTOR),
             // A backend server with free slots can take one more call at once.
-            Fate::Answered(_) if load.is_some_and(|l| l.running < l.slots) && full => {
+            AttemptOutcome::Answered(_) if load.is_some_and(|l| l.running < l.slots) && full => {
                 self.increase(1.0)
             }
-            Fate::Answered(_) if full => self.increase(1.0 / self.limit),
+            AttemptOutcome::Answered(_) if full => self.increase(1.0 / self.limit),
             _ => {}
         }
     }
 
     /// Records that a call was abandoned; the limit stays as it is.
-    pub fn dropped(&mut self, sent: Timestamp) {
+    pub fn on_abandoned(&mut self, sent: Timestamp) {
         if let Some(i) = self.in_flight.iter().position(|at| *at == sent) {
             self.in_flight.swap_remove(i);
         }
     }
 
     /// Current concurrency limit.
-    pub fn window(&self) -> f64 {
+    pub fn concurrency_limit(&self) -> f64 {
         self.limit
     }
 
--- a/crates/router/src/pauses.rs
+++ b/crates/router/src/back_offs.rs
@@ -9,7 +9,7 @@
 use ebonyloft_core::time::Timestamp;
 
 use crate::catalog::ServerId;
-use crate::outcome::Pause;
+use crate::outcome::BackOff;
 
 /// Longest back-off that is applied; a server that needs more states it again with the next answer.
 pub const BACK_OFF_MAX: Duration = Duration::from_secs(300);
@@ -18,16 +18,16 @@
 
 /// Servers in back-off.
 #[derive(Clone, Debug, Default)]
-pub struct Pauses {
+pub struct BackOffs {
     until: HashMap<ServerId, Timestamp>,
 }
 
-impl Pauses {
+impl BackOffs {
     /// Records the back-off that a server asked for. Returns its end, and whether it is applied as stated.
-    pub fn note(&mut self, now: Timestamp, id: &ServerId, pause: Pause) -> (Timestamp, bool) {
+    pub fn record(&mut self, now: Timestamp, id: &ServerId, pause: BackOff) -> (Timestamp, bool) {
         let (time, as_stated) = match pause {
-            Pause::For(time) => (time.min(BACK_OFF_MAX), time <= BACK_OFF_MAX),
-            Pause::Unreadable => (BACK_OFF_DEFAULT, false),
+            BackOff::For(time) => (time.min(BACK_OFF_MAX), time <= BACK_OFF_MAX),
+            BackOff::Unreadable => (BACK_OFF_DEFAULT, false),
         };
         let until = now.after(time);
         if time > Duration::ZERO {
@@ -37,7 +37,7 @@
     }
 
     /// Whether requests may be sent to a server.
-    pub fn is_open(&self, now: Timestamp, id: &ServerId) -> bool {
+    pub fn is_available(&self, now: Timestamp, id: &ServerId) -> bool {
         self.until(now, id).is_none()
     }
 
@@ -53,7 +53,7 @@
 }
 
 /// Earliest end of the given back-offs; `None` if a server has no back-off, or there is no server.
-pub fn soonest(servers: impl Iterator<Item = Option<Timestamp>>) -> Option<Timestamp> {
+pub fn first_available(servers: impl Iterator<Item = Option<Timestamp>>) -> Option<Timestamp> {
     let mut first: Option<Timestamp> = None;
     for until in servers {
         let until = until?;
--- a/crates/router/src/budget.rs
+++ b/crates/router/src/budget.rs
@@ -42,37 +42,37 @@
     }
 
     /// Counts a caller's request for the service.
-    pub fn earn(&mut self, now: Timestamp, bounds: &Bounds) {
+    pub fn on_request(&mut self, now: Timestamp, bounds: &Bounds) {
         self.expire(now, bounds.budget_window);
         self.requests.push_back(now);
     }
 
     /// Reserves the retries in `required` if enough are available; `gateways` is the count of live gateways.
-    pub fn hold(
+    pub fn reserve(
         &mut self,
         now: Timestamp,
         bounds: &Bounds,
         gateways: usize,
-        required: Lack,
+        required: RequiredRetries,
     ) -> bool {
-        let left = self.left(now, bounds, gateways);
+        let left = self.available(now, bounds, gateways);
         let count = match required {
-            Lack::Sure(count) if left >= f64::from(count) => count,
-            Lack::Unlikely if left > 0.0 => 1,
-            Lack::Sure(_) | Lack::Unlikely => return false,
+            RequiredRetries::Sure(count) if left >= f64::from(count) => count,
+            RequiredRetries::Unlikely if left > 0.0 => 1,
+            RequiredRetries::Sure(_) | RequiredRetries::Unlikely => return false,
         };
         self.reserved += count as usize;
         true
     }
 
     /// Commits one reserved retry: it was sent.
-    pub fn spend(&mut self, now: Timestamp) {
+    pub fn commit(&mut self, now: Timestamp) {
         self.reserved = self.reserved.saturating_sub(1);
         self.retries.push_back(now);
     }
 
     /// Turns the latest committed retry back into a reservation, since it did not take place.
-    pub fn take_back(&mut self) {
+    pub fn uncommit(&mut self) {
         if self.retries.pop_back().is_some() {
             self.reserved += 1;
         }
@@ -84,7 +84,7 @@
     }
 
     /// Retries still available in the current window.
-    pub fn left(&mut self, now: Timestamp, bounds: &Bounds, gateways: usize) -> f64 {
+    pub fn available(&mut self, now: Timestamp, bounds: &Bounds, gateways: usize) -> f64 {
         self.expire(now, bounds.budget_window);
         let window = bounds.budget_window.as_secs_f64().max(1e-3);
         let age = now.since(self.started_at).as_secs_f64();
@@ -111,7 +111,7 @@
 
 /// Kind of the next send of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Next {
+pub enum NextSend {
     /// Only the prompt, for prefill; a run follows.
     Prompt,
     /// The request itself.
@@ -120,7 +120,7 @@
 
 /// Retries that a request must reserve before its next send.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Lack {
+pub enum RequiredRetries {
     /// This many will take place.
     Sure(u32),
     /// One takes place only if the prompt is not accepted. Any remaining fraction is enough, since one of
@@ -128,12 +128,12 @@
     Unlikely,
 }
 
-impl Lack {
+impl RequiredRetries {
     /// Number of retries to reserve.
     pub fn count(self) -> u32 {
         match self {
-            Lack::Sure(count) => count,
-            Lack::Unlikely => 1,
+            RequiredRetries::Sure(count) => count,
+            RequiredRetries::Unlikely => 1,
         }
     }
 }
@@ -156,17 +156,17 @@
     }
 
     /// Retries to reserve before the next send, so that a run can follow however the send ends.
-    pub fn lacks(&self, next: Next) -> Option<Lack> {
-        let needs = self.count + u32::from(next == Next::Prompt);
+    pub fn required_retries(&self, next: NextSend) -> Option<RequiredRetries> {
+        let needs = self.count + u32::from(next == NextSend::Prompt);
         match needs.saturating_sub(self.reserved) {
             0 => None,
-            1 if self.count == 0 => Some(Lack::Unlikely),
-            count => Some(Lack::Sure(count)),
+            1 if self.count == 0 => Some(RequiredRetries::Unlikely),
+            count => Some(RequiredRetries::Sure(count)),
         }
     }
 
     /// Records that `required` was reserved.
-    pub fn take(&mut self, required: Lack) {
+    pub fn on_reserved(&mut self, required: RequiredRetries) {
         self.reserved += required.count();
     }
 
@@ -177,25 +177,25 @@
     }
 
     /// Undoes the latest send, which reached no backend server; true if it was counted as a retry.
-    pub fn unsend(&mut self) -> bool {
+    pub fn on_undelivered(&mut self) -> bool {
         self.count = self.count.saturating_sub(1);
         self.count > 0
     }
 
     /// Records that the latest prompt was accepted; true if it was counted as a retry and is none.
-    pub fn accept(&mut self) -> bool {
-        !std::mem::replace(&mut self.prompt_accepted, true) && self.unsend()
+    pub fn on_prompt_accepted(&mut self) -> bool {
+        !std::mem::replace(&mut self.prompt_accepted, true) && self.on_undelivered()
     }
 
     /// Drops reservations that a run does not need, and returns their number.
-    pub fn spare(&mut self) -> u32 {
+    pub fn drop_unneeded(&mut self) -> u32 {
         let unneeded = self.reserved.saturating_sub(self.count);
         self.reserved -= unneeded;
         unneeded
     }
 
     /// Ends the request, and returns the number of unused reservations.
-    pub fn close(self) -> u32 {
+    pub fn finish(self) -> u32 {
         self.reserved.saturating_sub(self.count.saturating_sub(1))
     }
 }
--- a/crates/router/src/patience.rs
+++ b/crates/router/src/caller_deadlines.rs
@@ -28,14 +28,14 @@
 
 /// Longest recent deadlines by route.
 #[derive(Clone, Debug, Default)]
-pub struct Patience {
+pub struct CallerDeadlines {
     routes: HashMap<String, LongestDeadline>,
 }
 
-impl Patience {
+impl CallerDeadlines {
     /// Records the deadline of a request that arrived at `now`, and returns the time that its caller has
     /// spent in earlier attempts; zero if this may be the first one.
-    pub fn spent(
+    pub fn time_spent(
         &mut self,
         now: Timestamp,
         route: &str,
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -13,7 +13,7 @@
 
 impl Splitter {
     /// A splitter for a stream that resumes after the event `last`.
-    pub fn behind(last: Option<u64>) -> Self {
+    pub fn resuming_after(last: Option<u64>) -> Self {
         Splitter { buffer: Vec::new(), last, count: 0 }
     }
 
@@ -38,7 +38,7 @@
     }
 
     /// Id of the last complete event.
-    pub fn last(&self) -> Option<u64> {
+    pub fn last_id(&self) -> Option<u64> {
         self.last
     }
 
@@ -53,12 +53,12 @@
     }
 
     /// Bytes of the incomplete event.
-    pub fn rest(&self) -> &[u8] {
+    pub fn incomplete(&self) -> &[u8] {
         &self.buffer
     }
 
     /// Drops the incomplete event; the next stream sends it again from its start.
-    pub fn restart(&mut self) {
+    pub fn discard_incomplete(&mut self) {
         self.buffer.clear();
     }
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -5,10 +5,11 @@
 //! of decision; the daemon passes in the current time and carries out the result.
 
 pub mod accounts;
+pub mod admission_queue;
+pub mod back_offs;
 pub mod budget;
+pub mod caller_deadlines;
 pub mod catalog;
-pub mod comeback;
-pub mod content;
 pub mod delegate;
 pub mod drift;
 pub mod engines;
@@ -20,19 +21,18 @@
 pub mod holder;
 pub mod learned;
 pub mod limits;
-pub mod line;
-pub mod losses;
+pub mod lost_attempts;
 pub mod node;
 pub mod outcome;
-pub mod patience;
-pub mod pauses;
-pub mod plain;
+pub mod plain_servers;
 pub mod prefill;
 pub mod pulls;
 pub mod quarantine;
 pub mod quota;
 pub mod reading;
 pub mod recency;
+pub mod request_digest;
+pub mod retry_after;
 pub mod roster;
 pub mod routes;
 pub mod share;
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -44,7 +44,7 @@
 
 /// Update about the limit of one server, sent to other gateways.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Named {
+pub struct LimitUpdate {
     /// The incarnation of the server.
     #[serde(rename = "s")]
     pub server: ServerId,
@@ -73,13 +73,13 @@
 impl ServerLimits {
     /// Records that an answer to a request sent at `sent` stated this limit, or none. Returns the update for
     /// the other gateways if the limit changed.
-    pub fn answered(
+    pub fn on_answer(
         &mut self,
         now: Timestamp,
         id: &ServerId,
         sent: Timestamp,
         limit: Option<Limit>,
-    ) -> Option<Named> {
+    ) -> Option<LimitUpdate> {
         let Some(state) = self.states.get_mut(id) else {
             limit?;
             return Some(self.change(now, id, 1, limit));
@@ -102,7 +102,7 @@
 
     /// Applies a peer's update; true if it changed anything. Of two updates with the same version the
     /// stricter one wins.
-    pub fn hear(&mut self, now: Timestamp, update: &Named) -> bool {
+    pub fn on_update(&mut self, now: Timestamp, update: &LimitUpdate) -> bool {
         let strictness = |limit: Option<Limit>| limit.map_or(0, |l| u64::from(u32::MAX - l.0) + 1);
         let rank = |version, limit| (version, strictness(limit));
         let state = self.states.get(&update.server);
@@ -119,8 +119,8 @@
     }
 
     /// Updates with the limits of all servers, for other gateways.
-    pub fn table(&self) -> Vec<Named> {
-        let to_update = |(id, k): (&ServerId, &LimitState)| Named {
+    pub fn updates(&self) -> Vec<LimitUpdate> {
+        let to_update = |(id, k): (&ServerId, &LimitState)| LimitUpdate {
             server: id.clone(),
             version: k.version,
             limit: k.limit,
@@ -129,7 +129,7 @@
     }
 
     /// Checksum over all limits and versions, zero if there are none.
-    pub fn sum(&self) -> u64 {
+    pub fn checksum(&self) -> u64 {
         let row_hash = |(id, k): (&ServerId, &LimitState)| {
             let limit = k.limit.map_or(0, |l| u64::from(l.0) + 1);
             mix(id.number() ^ mix(k.version ^ limit << 32))
@@ -148,8 +148,8 @@
         id: &ServerId,
         version: u64,
         limit: Option<Limit>,
-    ) -> Named {
+    ) -> LimitUpdate {
         self.states.insert(id.clone(), LimitState { version, limit, seen_at: now });
-        Named { server: id.clone(), version, limit }
+        LimitUpdate { server: id.clone(), version, limit }
     }
 }
--- a/crates/router/src/losses.rs
+++ b/crates/router/src/lost_attempts.rs
@@ -13,14 +13,14 @@
 use ebonyloft_core::time::Timestamp;
 
 use crate::catalog::{Server, ServerId};
-use crate::content::Content;
+use crate::request_digest::RequestDigest;
 
 /// Delay between the loss of a stream and the first probe of its server: the time that a crashing process
 /// takes to close its port.
-pub const STREAM_WAIT: Duration = Duration::from_millis(30);
+pub const STREAM_PROBE_DELAY: Duration = Duration::from_millis(30);
 /// The same delay for a short call, where other calls to the server usually show within it whether it is
 /// alive.
-pub const CALL_WAIT: Duration = Duration::from_millis(1_000);
+pub const CALL_PROBE_DELAY: Duration = Duration::from_millis(1_000);
 /// Interval between the first two probes of a server; each further interval is longer by half of this.
 pub const PROBE_INTERVAL: Duration = Duration::from_millis(150);
 /// Refused connections that mean a crash: a single one may come from a server with too many connections.
@@ -33,9 +33,9 @@
 
 /// An attempt that broke off.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Loss {
+pub struct LostAttempt {
     /// Digest of the request.
-    pub content: Content,
+    pub content: RequestDigest,
     /// It broke off soon after its start.
     pub early: bool,
     /// When it was sent.
@@ -48,7 +48,7 @@
 
 /// Result of probing a server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Found {
+pub enum ProbeResult {
     /// The probed incarnation answered.
     Alive,
     /// Another incarnation answered.
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug)]
 struct Investigation {
     addr: SocketAddr,
-    attempts: Vec<Loss>,
+    attempts: Vec<LostAttempt>,
     probe_at: Timestamp,
     probes: u32,
     refusals: u32,
@@ -70,13 +70,13 @@
 
 /// Lost attempts under investigation, by server incarnation.
 #[derive(Clone, Debug, Default)]
-pub struct Losses {
+pub struct LostAttempts {
     investigations: BTreeMap<ServerId, Investigation>,
 }
 
-impl Losses {
+impl LostAttempts {
     /// Adds a lost attempt; the server is probed after `wait` unless its state is known before.
-    pub fn lost(&mut self, server: &Server, attempt: Loss, wait: Duration) {
+    pub fn add(&mut self, server: &Server, attempt: LostAttempt, wait: Duration) {
         let probe_at = attempt.at.after(wait);
         let investigation =
             self.investigations.entry(server.id.clone()).or_insert_with(|| Investigation {
@@ -92,7 +92,7 @@
 
     /// The server answered a request that was sent at `sent`: attempts lost before then did not crash it.
     /// Returns them.
-    pub fn alive(&mut self, id: &ServerId, sent: Timestamp) -> Vec<Loss> {
+    pub fn on_answer(&mut self, id: &ServerId, sent: Timestamp) -> Vec<LostAttempt> {
         let Some(investigation) = self.investigations.get_mut(id) else {
             return Vec::new();
         };
@@ -108,7 +108,7 @@
 
     /// The server has crashed: returns the attempts that were lost by its crash. An attempt sent after the
     /// first loss reached a server that was already down.
-    pub fn ended(&mut self, id: &ServerId) -> Vec<Loss> {
+    pub fn on_crash(&mut self, id: &ServerId) -> Vec<LostAttempt> {
         let mut attempts = self
             .investigations
             .remove(id)
@@ -119,14 +119,14 @@
     }
 
     /// Does the same for all incarnations of a name except `current`.
-    pub fn ended_but(
+    pub fn on_crash_except(
         &mut self,
         name: &str,
         current: Option<&ServerId>,
-    ) -> Vec<(ServerId, Vec<Loss>)> {
+    ) -> Vec<(ServerId, Vec<LostAttempt>)> {
         let superseded = |id: &&ServerId| id.name == name && Some(*id) != current;
         let ids: Vec<ServerId> = self.investigations.keys().filter(superseded).cloned().collect();
-        ids.into_iter().map(|id| (id.clone(), self.ended(&id))).collect()
+        ids.into_iter().map(|id| (id.clone(), self.on_crash(&id))).collect()
     }
 
     /// Incarnations that have ended, since another one registered at their address.
@@ -139,7 +139,7 @@
     }
 
     /// Servers to probe now; each is probed again later unless its state is learned before.
-    pub fn ask(&mut self, now: Timestamp) -> Vec<(ServerId, SocketAddr)> {
+    pub fn due_probes(&mut self, now: Timestamp) -> Vec<(ServerId, SocketAddr)> {
         let mut due = Vec::new();
         for (id, investigation) in &mut self.investigations {
             if investigation.probe_at <= now && investigation.probes < PROBES_MAX {
@@ -153,29 +153,29 @@
     }
 
     /// Time of the next probe.
-    pub fn next_ask(&self) -> Option<Timestamp> {
+    pub fn next_probe_at(&self) -> Option<Timestamp> {
         let asks =
             self.investigations.values().filter(|investigation| investigation.probes < PROBES_MAX);
         asks.map(|investigation| investigation.probe_at).min()
     }
 
     /// Records the result of a probe; true if the server has crashed.
-    pub fn found(&mut self, id: &ServerId, found: Found) -> bool {
+    pub fn on_probe_result(&mut self, id: &ServerId, found: ProbeResult) -> bool {
         let Some(investigation) = self.investigations.get_mut(id) else {
             return false;
         };
         match found {
-            Found::Other => true,
-            Found::Nobody => {
+            ProbeResult::Other => true,
+            ProbeResult::Nobody => {
                 investigation.refusals += 1;
                 investigation.refusals >= REFUSALS_MIN
             }
-            Found::Alive | Found::Silence => false,
+            ProbeResult::Alive | ProbeResult::Silence => false,
         }
     }
 
     /// Removes and returns lost attempts whose cause was not found in time.
-    pub fn expire(&mut self, now: Timestamp) -> Vec<(ServerId, Loss)> {
+    pub fn expire(&mut self, now: Timestamp) -> Vec<(ServerId, LostAttempt)> {
         let mut expired = Vec::new();
         for (id, investigation) in &mut self.investigations {
             let (old, left) = investigation
@@ -183,7 +183,7 @@
                 .drain(..)
                 .partition(|attempt| attempt.at.after(INVESTIGATION_TIMEOUT) <= now);
             investigation.attempts = left;
-            let old: Vec<Loss> = old;
+            let old: Vec<LostAttempt> = old;
             expired.extend(old.into_iter().map(|attempt| (id.clone(), attempt)));
         }
         self.investigations.retain(|_, investigation| !investigation.attempts.is_empty());
@@ -191,7 +191,7 @@
     }
 
     /// Whether an attempt of this request is under investigation.
-    pub fn is_open(&self, content: &Content) -> bool {
+    pub fn is_investigated(&self, content: &RequestDigest) -> bool {
         self.investigations.values().any(|investigation| {
             investigation.attempts.iter().any(|attempt| attempt.content == *content)
         })
--- a/crates/router/src/node.rs
+++ b/crates/router/src/node.rs
@@ -74,7 +74,7 @@
     /// Longest time for which state may be used without a confirmation. Beyond it, silence no longer means
     /// "no change". It is the shortest time in which a change must take effect, less the time for relaying
     /// it.
-    pub fn silence(&self) -> Duration {
+    pub fn staleness_bound(&self) -> Duration {
         let shortest = self.contact.min(self.drain).min(self.apply);
         shortest.saturating_sub(RELAY_TIME).max(shortest / 2)
     }
--- a/crates/router/src/outcome.rs
+++ b/crates/router/src/outcome.rs
@@ -39,14 +39,14 @@
     /// The backend server announces that it leaves.
     pub leaving: bool,
     /// The backend server asks this gateway to back off.
-    pub pause: Option<Pause>,
+    pub pause: Option<BackOff>,
     /// Rate limit that the backend server states for all gateways.
     pub limit: Option<Limit>,
 }
 
 /// How long a backend server asks the gateway to back off.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Pause {
+pub enum BackOff {
     /// For this time from the answer on.
     For(Duration),
     /// The stated time could not be parsed.
@@ -55,7 +55,7 @@
 
 /// How one attempt ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Fate {
+pub enum AttemptOutcome {
     /// No byte of it reached a backend server.
     Unsent,
     /// The backend server states that it did not run the request.
@@ -68,36 +68,38 @@
     Lost,
 }
 
-impl Fate {
+impl AttemptOutcome {
     /// Whether the request may have run in this attempt.
     pub fn verdict(self) -> Verdict {
         match self {
-            Fate::Unsent | Fate::Rejected | Fate::Moved => Verdict::NotRun,
-            Fate::Answered(_) | Fate::Lost => Verdict::MayHaveRun,
+            AttemptOutcome::Unsent | AttemptOutcome::Rejected | AttemptOutcome::Moved => {
+                Verdict::NotRun
+            }
+            AttemptOutcome::Answered(_) | AttemptOutcome::Lost => Verdict::MayHaveRun,
         }
     }
 
     /// Outcome according to the head of an answer to the given attempt.
-    pub fn of(reply: &Reply, attempt: Option<&str>) -> Fate {
+    pub fn from_reply(reply: &Reply, attempt: Option<&str>) -> AttemptOutcome {
         if reply.attempt.is_some() && reply.attempt.as_deref() != attempt {
             // A stray answer to an earlier attempt says nothing about this one.
-            return Fate::Lost;
+            return AttemptOutcome::Lost;
         }
         match reply {
-            Reply { moved: true, .. } => Fate::Moved,
-            Reply { not_run: true, .. } => Fate::Rejected,
-            Reply { stamped: false, status, .. } if *status < 300 => Fate::Lost,
-            Reply { encoded: true, .. } => Fate::Lost,
-            Reply { status, .. } => Fate::Answered(*status),
+            Reply { moved: true, .. } => AttemptOutcome::Moved,
+            Reply { not_run: true, .. } => AttemptOutcome::Rejected,
+            Reply { stamped: false, status, .. } if *status < 300 => AttemptOutcome::Lost,
+            Reply { encoded: true, .. } => AttemptOutcome::Lost,
+            Reply { status, .. } => AttemptOutcome::Answered(*status),
         }
     }
 
     /// Whether the backend server failed: no answer, or a 5xx status.
     pub fn failed(self) -> bool {
         match self {
-            Fate::Answered(status) => status >= 500,
-            Fate::Lost => true,
-            Fate::Unsent | Fate::Rejected | Fate::Moved => false,
+            AttemptOutcome::Answered(status) => status >= 500,
+            AttemptOutcome::Lost => true,
+            AttemptOutcome::Unsent | AttemptOutcome::Rejected | AttemptOutcome::Moved => false,
         }
     }
 }
@@ -112,9 +114,9 @@
     /// Highest number of backend servers on which it may run.
     pub runs_max: u32,
     /// Attempts that were rejected or not sent.
-    pub misses: u32,
+    pub rejections: u32,
     /// An attempt is in flight.
-    pub open: bool,
+    pub in_flight: bool,
 }
 
 /// Attempts that may be rejected or stay unsent before the request is refused. Each rejection costs retry
@@ -124,19 +126,19 @@
 impl Progress {
     /// State of a request that was not sent yet.
     pub fn new(repeatable: bool, runs_max: u32) -> Self {
-        Progress { repeatable, runs: 0, runs_max, misses: 0, open: false }
+        Progress { repeatable, runs: 0, runs_max, rejections: 0, in_flight: false }
     }
 
     /// Starts an attempt; until its outcome is recorded the request may be running.
     pub fn begin(&mut self) {
-        self.open = true;
+        self.in_flight = true;
     }
 
     /// Records the outcome of the attempt.
-    pub fn note(&mut self, fate: Fate) {
-        self.open = false;
+    pub fn record(&mut self, fate: AttemptOutcome) {
+        self.in_flight = false;
         match fate.verdict() {
-            Verdict::NotRun => self.misses += 1,
+            Verdict::NotRun => self.rejections += 1,
             Verdict::MayHaveRun => self.runs += 1,
         }
     }
@@ -144,12 +146,12 @@
     /// Whether it may be sent to another backend server.
     pub fn may_send(&self) -> bool {
         let runs = if self.repeatable { self.runs_max } else { 1 };
-        self.runs < runs && self.misses < REJECTIONS_MAX
+        self.runs < runs && self.rejections < REJECTIONS_MAX
     }
 
     /// Whether it may have run in any attempt.
     pub fn verdict(&self) -> Verdict {
-        match (self.runs, self.open) {
+        match (self.runs, self.in_flight) {
             (0, false) => Verdict::NotRun,
             _ => Verdict::MayHaveRun,
         }
--- a/crates/router/src/plain.rs
+++ b/crates/router/src/plain_servers.rs
@@ -9,7 +9,7 @@
 use ebonyloft_core::time::Timestamp;
 
 use crate::catalog::{Server, ServerId};
-use crate::outcome::{Fate, Load};
+use crate::outcome::{AttemptOutcome, Load};
 
 /// Weight of a new duration or failure in the average: about the last ten answers count, which is half a
 /// second at 20 checks per second and gateway.
@@ -50,11 +50,11 @@
 
 /// Statistics of all plain backend servers, as observed by this gateway.
 #[derive(Clone, Debug, Default)]
-pub struct Plain {
+pub struct PlainServers {
     by_server: HashMap<ServerId, ServerStats>,
 }
 
-impl Plain {
+impl PlainServers {
     /// Server with the lowest cost among those not in `tried`; `draw` is uniform in 0..1 and breaks ties.
     pub fn pick<'a>(
         &self,
@@ -99,17 +99,17 @@
     }
 
     /// Records that a call was sent.
-    pub fn sent(&mut self, now: Timestamp, id: &ServerId) {
+    pub fn on_sent(&mut self, now: Timestamp, id: &ServerId) {
         self.by_server.entry(id.clone()).or_default().in_flight.push(now);
     }
 
     /// Records the end of a call that was sent at `sent`.
-    pub fn ended(
+    pub fn on_ended(
         &mut self,
         now: Timestamp,
         id: &ServerId,
         sent: Timestamp,
-        fate: Fate,
+        fate: AttemptOutcome,
         load: Option<Load>,
     ) {
         let stats = self.by_server.entry(id.clone()).or_default();
@@ -118,9 +118,11 @@
             stats.load = Some((now, load));
         }
         match fate {
-            Fate::Unsent | Fate::Moved => stats.back_off_until = now.after(BACK_OFF),
-            Fate::Rejected => {}
-            Fate::Answered(_) | Fate::Lost => {
+            AttemptOutcome::Unsent | AttemptOutcome::Moved => {
+                stats.back_off_until = now.after(BACK_OFF)
+            }
+            AttemptOutcome::Rejected => {}
+            AttemptOutcome::Answered(_) | AttemptOutcome::Lost => {
                 let failed = if fate.failed() { 1.0 } else { 0.0 };
                 stats.failure_rate += NEW_WEIGHT * (failed - stats.failure_rate);
                 stats.rated_at = now;
@@ -132,7 +134,7 @@
     }
 
     /// Records that a call was abandoned by its caller.
-    pub fn dropped(&mut self, id: &ServerId, sent: Timestamp) {
+    pub fn on_abandoned(&mut self, id: &ServerId, sent: Timestamp) {
         if let Some(stats) = self.by_server.get_mut(id) {
             stats.close(sent);
         }
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -16,8 +16,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::catalog::ServerId;
-use crate::content::Content;
 use crate::drift::mix;
+use crate::request_digest::RequestDigest;
 
 /// Points at which a request is refused: three crashes soon after its start, or five later ones.
 pub const CONFIRM_POINTS: u32 = 5;
@@ -26,10 +26,10 @@
 /// Points of a later crash.
 const LATE_POINTS: u32 = 1;
 /// How long a crash counts: longer than callers repeat a request, and short enough to forget a busy day.
-pub const SUSPECT_LIFE: Duration = Duration::from_secs(600);
+pub const SUSPECT_TTL: Duration = Duration::from_secs(600);
 /// How long a confirmed request is refused; by then an operator has looked at it, or no caller sends it any
 /// more.
-pub const PROVED_LIFE: Duration = Duration::from_secs(3_600);
+pub const CONFIRMED_TTL: Duration = Duration::from_secs(3_600);
 /// How long a probe of a suspect excludes other gateways if no result of it is received.
 pub const PROBE_TIMEOUT: Duration = Duration::from_millis(3_000);
 /// How long a request is held back while one of its lost attempts is investigated.
@@ -52,7 +52,7 @@
 
 /// A crash of a server while it ran a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Ending {
+pub struct Crash {
     /// The incarnation that crashed.
     pub server: ServerId,
     /// The request had only just started.
@@ -63,10 +63,10 @@
 
 /// Update about a request digest, exchanged between gateways.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Word {
+pub struct QuarantineUpdate {
     /// Digest of the request.
     #[serde(rename = "c")]
-    pub content: Content,
+    pub content: RequestDigest,
     /// Age of the fact in milliseconds.
     #[serde(rename = "a")]
     pub age: u64,
@@ -103,7 +103,7 @@
 
 /// How a request is treated.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Standing {
+pub enum QuarantineState {
     /// Sent like any other.
     Free,
     /// To be sent as a probe, by one gateway at a time.
@@ -111,7 +111,7 @@
     /// Being probed or investigated, at most until then.
     Held(Timestamp),
     /// Refused until then.
-    Proved(Timestamp),
+    Confirmed(Timestamp),
 }
 
 /// Effect of a fact.
@@ -122,14 +122,14 @@
     /// The request became a suspect, or has more points than before.
     Suspected,
     /// The request is confirmed.
-    Proved,
+    Confirmed,
     /// The request is neither suspect nor confirmed any more.
     Cleared,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Row {
-    crashes: Vec<Ending>,
+    crashes: Vec<Crash>,
     confirmed_at: Option<Timestamp>,
     /// Crashes up to then don't count, since the request was answered completely.
     served_at: Timestamp,
@@ -141,7 +141,7 @@
 
 impl Row {
     fn points(&self) -> u32 {
-        let points = |e: &Ending| if e.early { EARLY_POINTS } else { LATE_POINTS };
+        let points = |e: &Crash| if e.early { EARLY_POINTS } else { LATE_POINTS };
         self.crashes.iter().map(points).sum()
     }
 
@@ -156,64 +156,64 @@
     /// When the row can be dropped.
     fn ends_at(&self) -> Timestamp {
         let confirmed_until =
-            self.confirmed_at.map_or(Timestamp::default(), |at| at.after(PROVED_LIFE));
-        let crashes = self.crashes.iter().map(|e| e.at.after(SUSPECT_LIFE)).max();
+            self.confirmed_at.map_or(Timestamp::default(), |at| at.after(CONFIRMED_TTL));
+        let crashes = self.crashes.iter().map(|e| e.at.after(SUSPECT_TTL)).max();
         let cleared = self.served_at.max(self.released_at);
         // A clearing must outlive the crashes that peers may still report.
         let cleared =
-            if cleared > Timestamp::default() { cleared.after(SUSPECT_LIFE) } else { cleared };
+            if cleared > Timestamp::default() { cleared.after(SUSPECT_TTL) } else { cleared };
         confirmed_until.max(crashes.unwrap_or_default()).max(cleared).max(self.held_until())
     }
 
-    fn standing(&self, now: Timestamp) -> Standing {
+    fn state(&self, now: Timestamp) -> QuarantineState {
         if let Some(at) = self.confirmed_at
-            && at.after(PROVED_LIFE) > now
+            && at.after(CONFIRMED_TTL) > now
         {
-            return Standing::Proved(at.after(PROVED_LIFE));
+            return QuarantineState::Confirmed(at.after(CONFIRMED_TTL));
         }
         if self.held_until() > now {
-            return Standing::Held(self.held_until());
+            return QuarantineState::Held(self.held_until());
         }
-        if self.is_suspect() { Standing::Suspect } else { Standing::Free }
+        if self.is_suspect() { QuarantineState::Suspect } else { QuarantineState::Free }
     }
 }
 
 /// History of all suspect and confirmed requests.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
-    rows: HashMap<Content, Row>,
+    rows: HashMap<RequestDigest, Row>,
     /// Requests that this gateway received a complete answer for, and when.
-    healthy: HashMap<Content, Timestamp>,
+    healthy: HashMap<RequestDigest, Timestamp>,
     /// Row count at which the table size is checked again.
     check_at: usize,
 }
 
 impl Quarantine {
     /// How a request is treated.
-    pub fn standing(&self, now: Timestamp, digest: &Content) -> Standing {
-        self.rows.get(digest).map_or(Standing::Free, |row| row.standing(now))
+    pub fn standing(&self, now: Timestamp, digest: &RequestDigest) -> QuarantineState {
+        self.rows.get(digest).map_or(QuarantineState::Free, |row| row.state(now))
     }
 
     /// Known crashes under a request.
-    pub fn endings(&self, digest: &Content) -> &[Ending] {
+    pub fn crashes(&self, digest: &RequestDigest) -> &[Crash] {
         self.rows.get(digest).map_or(&[], |row| &row.crashes)
     }
 
     /// Whether one more crash soon after the start would confirm the request. Other gateways then store it
     /// too.
-    pub fn is_close(&self, digest: &Content) -> bool {
+    pub fn is_nearly_confirmed(&self, digest: &RequestDigest) -> bool {
         let close =
             |row: &Row| row.confirmed_at.is_none() && row.points() + EARLY_POINTS >= CONFIRM_POINTS;
         self.rows.get(digest).is_some_and(close)
     }
 
     /// Whether there is a history of the request.
-    pub fn is_known(&self, digest: &Content) -> bool {
+    pub fn is_known(&self, digest: &RequestDigest) -> bool {
         self.rows.contains_key(digest)
     }
 
     /// Records a complete answer at this gateway; true if other gateways need the update.
-    pub fn served_here(&mut self, now: Timestamp, digest: Content) -> bool {
+    pub fn on_served(&mut self, now: Timestamp, digest: RequestDigest) -> bool {
         if self.healthy.len() >= HEALTHY_MAX {
             self.healthy.retain(|_, at| at.after(HEALTHY_TTL) > now);
         }
@@ -225,19 +225,19 @@
     }
 
     /// Whether the request was answered completely at this gateway after, or shortly before, the given time.
-    pub fn is_sound(&self, at: Timestamp, digest: &Content) -> bool {
+    pub fn is_healthy(&self, at: Timestamp, digest: &RequestDigest) -> bool {
         self.healthy.get(digest).is_some_and(|served| served.after(HEALTHY_TTL) > at)
     }
 
     /// Applies an update of this gateway or of a peer.
-    pub fn take(&mut self, now: Timestamp, update: &Word) -> Change {
+    pub fn apply(&mut self, now: Timestamp, update: &QuarantineUpdate) -> Change {
         let (digest, at) = (update.content, now.before(Duration::from_millis(update.age)));
         match &update.fact {
             Fact::Lost(number) => self.hold(now, digest, *number, at.after(INVESTIGATION_HOLD)),
             Fact::Trying(number) => self.hold(now, digest, *number, at.after(PROBE_TIMEOUT)),
             Fact::Over(number) => self.release_hold(now, digest, *number),
             Fact::Ended(server, early) => {
-                let crash = Ending { server: server.clone(), early: *early, at };
+                let crash = Crash { server: server.clone(), early: *early, at };
                 return self.record_crash(now, digest, crash);
             }
             Fact::Served => return self.record_served(digest, at),
@@ -247,7 +247,7 @@
         Change::Nothing
     }
 
-    fn hold(&mut self, now: Timestamp, digest: Content, number: u64, until: Timestamp) {
+    fn hold(&mut self, now: Timestamp, digest: RequestDigest, number: u64, until: Timestamp) {
         let row = self.rows.entry(digest).or_default();
         row.holds.retain(|(_, until)| *until > now);
         if row.holds.len() < HOLDS_MAX && row.holds.iter().all(|(n, _)| *n != number) {
@@ -257,15 +257,15 @@
     }
 
     /// Removes only the hold with this number; other investigations may be running.
-    fn release_hold(&mut self, now: Timestamp, digest: Content, number: u64) {
+    fn release_hold(&mut self, now: Timestamp, digest: RequestDigest, number: u64) {
         let Some(row) = self.rows.get_mut(&digest) else {
             return;
         };
         row.holds.retain(|(n, until)| *n != number && *until > now);
     }
 
-    fn record_crash(&mut self, now: Timestamp, digest: Content, crash: Ending) -> Change {
-        if crash.at.after(SUSPECT_LIFE) <= now {
+    fn record_crash(&mut self, now: Timestamp, digest: RequestDigest, crash: Crash) -> Change {
+        if crash.at.after(SUSPECT_TTL) <= now {
             return Change::Nothing;
         }
         let row = self.rows.entry(digest).or_default();
@@ -279,13 +279,13 @@
         if proved {
             row.confirmed_at = row.crashes.iter().map(|e| e.at).max();
         }
-        let change = if proved { Change::Proved } else { Change::Suspected };
+        let change = if proved { Change::Confirmed } else { Change::Suspected };
         self.evict();
         change
     }
 
     /// A confirmed request stays confirmed, since the answer may have begun before.
-    fn record_served(&mut self, digest: Content, at: Timestamp) -> Change {
+    fn record_served(&mut self, digest: RequestDigest, at: Timestamp) -> Change {
         let Some(row) = self.rows.get_mut(&digest).filter(|row| row.confirmed_at.is_none()) else {
             return Change::Nothing;
         };
@@ -296,21 +296,21 @@
         if row.crashes.len() < before { Change::Cleared } else { Change::Nothing }
     }
 
-    fn record_confirmed(&mut self, now: Timestamp, digest: Content, at: Timestamp) -> Change {
-        if at.after(PROVED_LIFE) <= now {
+    fn record_confirmed(&mut self, now: Timestamp, digest: RequestDigest, at: Timestamp) -> Change {
+        if at.after(CONFIRMED_TTL) <= now {
             return Change::Nothing;
         }
         let row = self.rows.entry(digest).or_default();
         if at <= row.released_at || row.confirmed_at.is_some_and(|before| before >= at) {
             return Change::Nothing;
         }
-        let change = if row.confirmed_at.is_none() { Change::Proved } else { Change::Nothing };
+        let change = if row.confirmed_at.is_none() { Change::Confirmed } else { Change::Nothing };
         row.confirmed_at = Some(at);
         self.evict();
         change
     }
 
-    fn record_released(&mut self, digest: Content, at: Timestamp) -> Change {
+    fn record_released(&mut self, digest: RequestDigest, at: Timestamp) -> Change {
         let row = self.rows.entry(digest).or_default();
         if at <= row.released_at {
             return Change::Nothing;
@@ -323,12 +323,12 @@
     }
 
     /// Full state as updates, for a peer whose checksum differs.
-    pub fn table(&self, now: Timestamp) -> Vec<Word> {
+    pub fn updates(&self, now: Timestamp) -> Vec<QuarantineUpdate> {
         let mut updates = Vec::new();
         for (digest, row) in &self.rows {
             let mut add = |at: Timestamp, fact| {
                 let age = now.since(at).as_millis() as u64;
-                updates.push(Word { content: *digest, age, fact });
+                updates.push(QuarantineUpdate { content: *digest, age, fact });
             };
             // Facts that void others come first.
             if row.released_at > Timestamp::default() {
@@ -348,7 +348,7 @@
     }
 
     /// Checksum of the state, zero if it is empty; gateways with equal checksums have the same state.
-    pub fn sum(&self) -> u64 {
+    pub fn checksum(&self) -> u64 {
         self.rows.iter().map(|(digest, row)| row_checksum(digest, row)).fold(0, |a, b| a ^ b)
     }
 
@@ -360,15 +360,15 @@
     }
 
     /// Drops expired rows, and returns the confirmed requests among them.
-    pub fn expire(&mut self, now: Timestamp) -> Vec<Content> {
+    pub fn expire(&mut self, now: Timestamp) -> Vec<RequestDigest> {
         let expired = |row: &Row| row.ends_at() <= now;
-        let proved = |(digest, row): (&Content, &Row)| {
+        let proved = |(digest, row): (&RequestDigest, &Row)| {
             (expired(row) && row.confirmed_at.is_some()).then_some(*digest)
         };
         let forgotten = self.rows.iter().filter_map(proved).collect();
         self.rows.retain(|_, row| !expired(row));
         for row in self.rows.values_mut() {
-            row.crashes.retain(|e| e.at.after(SUSPECT_LIFE) > now);
+            row.crashes.retain(|e| e.at.after(SUSPECT_TTL) > now);
         }
         forgotten
     }
@@ -380,7 +380,7 @@
             return;
         }
         for (proved, max) in [(false, SUSPECTS_MAX), (true, CONFIRMED_MAX)] {
-            let mut rows: Vec<(u32, Timestamp, Content)> = self
+            let mut rows: Vec<(u32, Timestamp, RequestDigest)> = self
                 .rows
                 .iter()
                 .filter(|(_, row)| row.confirmed_at.is_some() == proved)
@@ -397,12 +397,12 @@
     }
 }
 
-fn row_checksum(digest: &Content, row: &Row) -> u64 {
+fn row_checksum(digest: &RequestDigest, row: &Row) -> u64 {
     let digest_hash = mix(digest.0 ^ digest.1);
     if row.confirmed_at.is_some() {
         // Gateways may keep different crashes of a confirmed request; that makes no difference any more.
         return mix(digest_hash);
     }
-    let crash = |e: &Ending| mix(digest_hash ^ e.server.number());
+    let crash = |e: &Crash| mix(digest_hash ^ e.server.number());
     row.crashes.iter().map(crash).fold(0, |a, b| a ^ b)
 }
--- a/crates/router/src/quota.rs
+++ b/crates/router/src/quota.rs
@@ -6,9 +6,9 @@
 //! gateways alone (`ownership`). A new owner starts with the tokens that have accrued since it became the
 //! owner, and so grants no second burst.
 
-pub mod borrower;
-pub mod homes;
-pub mod lender;
+pub mod issuer;
+pub mod leases;
+pub mod ownership;
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 
 /// What a rate limit applies to.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
-pub enum Key {
+pub enum LimitKey {
     /// Requests or tokens of a client account.
     #[serde(rename = "a")]
     Account(Name),
@@ -33,30 +33,30 @@
     Server(ServerId),
 }
 
-impl Key {
+impl LimitKey {
     /// Key of a client account.
     pub fn account(name: &str) -> Self {
-        Key::Account(name.into())
+        LimitKey::Account(name.into())
     }
 
     /// Hash of the key.
     pub fn number(&self) -> u64 {
         match self {
-            Key::Account(name) => number(name.as_str()),
-            Key::Server(id) => id.number(),
+            LimitKey::Account(name) => number(name.as_str()),
+            LimitKey::Server(id) => id.number(),
         }
     }
 }
 
 /// Request for a token lease, sent to the owner of a limit.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Ask {
+pub struct LeaseRequest {
     /// Identifies the request; the response carries it.
     #[serde(rename = "n")]
     pub number: u64,
     /// The rate limit.
     #[serde(rename = "a")]
-    pub key: Key,
+    pub key: LimitKey,
     /// Cost of the caller's request.
     #[serde(rename = "w")]
     pub need: u64,
@@ -70,7 +70,7 @@
 
 /// Decision of an owner.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Reply {
+pub enum LeaseDecision {
     /// Tokens granted; at least the requested cost.
     #[serde(rename = "l")]
     Lent(u64),
@@ -91,11 +91,11 @@
 
 /// Response to a lease request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Answer {
+pub struct LeaseResponse {
     /// Number of the request.
     #[serde(rename = "n")]
     pub number: u64,
     /// The decision.
     #[serde(rename = "r")]
-    pub reply: Reply,
+    pub reply: LeaseDecision,
 }
--- a/crates/router/src/quota/lender.rs
+++ b/crates/router/src/quota/issuer.rs
@@ -7,7 +7,7 @@
 use ebonyloft_core::limits::Bucket;
 use ebonyloft_core::time::Timestamp;
 
-use super::{Ask, Key, Reply};
+use super::{LeaseDecision, LeaseRequest, LimitKey};
 use crate::node::Excess;
 
 /// Fraction of a full bucket that is granted for requests at hand only, not for expected demand.
@@ -33,27 +33,27 @@
 const STANDBY_FRACTION: f64 = 0.5;
 
 /// Share of a limit that a standby grants beside an owner that may be alive.
-pub fn spare(bound: &Rate, excess: &Excess) -> f64 {
+pub fn standby_share(bound: &Rate, excess: &Excess) -> f64 {
     let allowed = bound.rate * excess.window.as_secs_f64() + bound.burst;
     STANDBY_FRACTION * (excess.part + excess.fixed / allowed.max(1.0)).min(1.0)
 }
 
 /// Limits that this gateway owns.
 #[derive(Clone, Debug)]
-pub struct Lender {
-    rows: HashMap<Key, Row>,
+pub struct LeaseIssuer {
+    rows: HashMap<LimitKey, Row>,
     /// Recent grants with the number of the lease request.
-    recent_grants: VecDeque<(Timestamp, u64, Reply)>,
+    recent_grants: VecDeque<(Timestamp, u64, LeaseDecision)>,
     /// When the current ranks of gateways took effect.
     ranked_at: Timestamp,
     edition: u64,
     ticked_at: Timestamp,
 }
 
-impl Lender {
+impl LeaseIssuer {
     /// State at process start, without tokens to grant.
     pub fn new(now: Timestamp) -> Self {
-        Lender {
+        LeaseIssuer {
             rows: HashMap::new(),
             recent_grants: VecDeque::new(),
             ranked_at: now,
@@ -76,21 +76,21 @@
     }
 
     /// Drops limits that another gateway owns now, since the grants of that gateway are not known here.
-    pub fn retain(&mut self, mut is_owner: impl FnMut(&Key) -> bool) {
+    pub fn retain(&mut self, mut is_owner: impl FnMut(&LimitKey) -> bool) {
         self.rows.retain(|key, _| is_owner(key));
     }
 
     /// Grants a lease. `part` is this gateway's share of the limit; `is_first` if it ranks first for the key.
-    pub fn lend(
+    pub fn grant(
         &mut self,
         now: Timestamp,
-        request: &Ask,
+        request: &LeaseRequest,
         bound: &Rate,
         part: f64,
         is_first: bool,
-    ) -> Reply {
+    ) -> LeaseDecision {
         if part <= 0.0 {
-            return Reply::Elsewhere;
+            return LeaseDecision::Elsewhere;
         }
         while self.recent_grants.front().is_some_and(|(at, ..)| now.since(*at) > REPLY_CACHE_TTL) {
             self.recent_grants.pop_front();
@@ -119,7 +119,7 @@
                 let surplus = (row.bucket.level() - rate.burst * RESERVED_FRACTION).max(0.0);
                 let extra = surplus.min(request.more as f64).floor();
                 row.bucket.put(&rate, -extra);
-                let reply = Reply::Lent(request.need + extra as u64);
+                let reply = LeaseDecision::Lent(request.need + extra as u64);
                 self.recent_grants.push_back((now, request.number, reply));
                 reply
             }
@@ -128,7 +128,7 @@
     }
 
     /// Puts unused tokens of a lease back, if this gateway has granted any of the limit.
-    pub fn take_back(&mut self, key: &Key, tokens: u64, part: f64) {
+    pub fn return_unused(&mut self, key: &LimitKey, tokens: u64, part: f64) {
         if let Some(row) = self.rows.get_mut(key) {
             let rate = Rate { rate: row.bound.rate * part, burst: row.bound.burst * part };
             row.bucket.put(&rate, tokens as f64);
@@ -136,7 +136,7 @@
     }
 
     /// Tokens in the bucket of a limit, as of its last use.
-    pub fn level(&self, key: &Key) -> Option<f64> {
+    pub fn level(&self, key: &LimitKey) -> Option<f64> {
         self.rows.get(key).map(|row| row.bucket.level())
     }
 
@@ -154,12 +154,12 @@
 impl Row {
     /// Refuses a request that could be admitted at `admit_at`; retries are spaced as fast as the limit
     /// allows.
-    fn refuse(&mut self, now: Timestamp, admit_at: Timestamp, seconds: f64) -> Reply {
+    fn refuse(&mut self, now: Timestamp, admit_at: Timestamp, seconds: f64) -> LeaseDecision {
         let latest = now.after(RETRY_SPREAD_MAX);
         let retry_at = self.retry_at.max(admit_at).min(latest.max(admit_at));
         let interval = Duration::try_from_secs_f64(seconds).unwrap_or(RETRY_SPREAD_MAX);
         self.retry_at = retry_at.after(interval).min(latest);
         let millis = |at: Timestamp| at.since(now).as_millis().min(u128::from(u32::MAX)) as u32;
-        Reply::Over { room: millis(admit_at), back: millis(retry_at) }
+        LeaseDecision::Over { room: millis(admit_at), back: millis(retry_at) }
     }
 }
--- a/crates/router/src/quota/borrower.rs
+++ b/crates/router/src/quota/leases.rs
@@ -5,7 +5,7 @@
 
 use ebonyloft_core::time::Timestamp;
 
-use super::{Key, LEASE_TTL};
+use super::{LEASE_TTL, LimitKey};
 
 /// Time constant of the average demand.
 const DEMAND_WINDOW: Duration = Duration::from_millis(1_000);
@@ -33,59 +33,59 @@
 
 /// Leased tokens by rate limit.
 #[derive(Clone, Debug, Default)]
-pub struct Borrower {
-    rows: HashMap<Key, Row>,
+pub struct TokenLeases {
+    rows: HashMap<LimitKey, Row>,
 }
 
-impl Borrower {
+impl TokenLeases {
     /// Records the demand, and spends `need` leased tokens; false if there are fewer.
-    pub fn take(&mut self, now: Timestamp, key: &Key, need: u64) -> bool {
+    pub fn spend(&mut self, now: Timestamp, key: &LimitKey, need: u64) -> bool {
         let row = self.row(key);
         row.record_demand(now, need);
         row.take(now, need)
     }
 
     /// Spends `need` tokens after a grant; false if there are fewer.
-    pub fn take_lent(&mut self, now: Timestamp, key: &Key, need: u64) -> bool {
+    pub fn spend_granted(&mut self, now: Timestamp, key: &LimitKey, need: u64) -> bool {
         self.row(key).take(now, need)
     }
 
     /// If the limit is known to be exhausted: until when, and when a refused caller should retry.
-    pub fn over(&self, now: Timestamp, key: &Key) -> Option<(Timestamp, Timestamp)> {
+    pub fn exhausted(&self, now: Timestamp, key: &LimitKey) -> Option<(Timestamp, Timestamp)> {
         let (admit_at, retry_at) = self.rows.get(key)?.exhausted?;
         (now < admit_at).then_some((admit_at, retry_at))
     }
 
     /// Tokens to lease in advance, beside the request at hand.
-    pub fn more(&self, key: &Key) -> u64 {
+    pub fn prefetch(&self, key: &LimitKey) -> u64 {
         self.rows.get(key).map_or(0, |row| (row.demand * PREFETCH_TIME.as_secs_f64()) as u64)
     }
 
     /// Adds tokens that the owner granted for a request made at `requested_at`.
-    pub fn lent(&mut self, key: &Key, requested_at: Timestamp, tokens: u64) {
+    pub fn on_granted(&mut self, key: &LimitKey, requested_at: Timestamp, tokens: u64) {
         let row = self.row(key);
         row.exhausted = None;
         row.leases.push_back(Lease { tokens, ends_at: requested_at.after(LEASE_TTL) });
     }
 
     /// Records that the owner has no tokens.
-    pub fn refused(&mut self, key: &Key, admit_at: Timestamp, retry_at: Timestamp) {
+    pub fn on_exhausted(&mut self, key: &LimitKey, admit_at: Timestamp, retry_at: Timestamp) {
         self.row(key).exhausted = Some((admit_at, retry_at));
     }
 
     /// Returns the tokens of a request that did not run, for use by another one.
-    pub fn give_back(&mut self, now: Timestamp, key: &Key, tokens: u64) {
+    pub fn restore(&mut self, now: Timestamp, key: &LimitKey, tokens: u64) {
         self.row(key).leases.push_back(Lease { tokens, ends_at: now.after(LEASE_TTL) });
     }
 
     /// Unexpired tokens of a limit.
-    pub fn held(&self, now: Timestamp, key: &Key) -> u64 {
+    pub fn held(&self, now: Timestamp, key: &LimitKey) -> u64 {
         let leases = self.rows.get(key).map(|row| &row.leases).into_iter().flatten();
         leases.filter(|lease| now < lease.ends_at).map(|lease| lease.tokens).sum()
     }
 
     /// Removes tokens that expire within `soon`, to be returned to the owner, which can grant them again.
-    pub fn unused(&mut self, now: Timestamp, soon: Duration) -> Vec<(Key, u64)> {
+    pub fn take_expiring(&mut self, now: Timestamp, soon: Duration) -> Vec<(LimitKey, u64)> {
         let end = now.after(soon);
         let rows = self.rows.iter_mut().map(|(key, row)| (key, row.remove_expiring(now, end)));
         rows.filter(|(_, tokens)| *tokens > 0).map(|(key, tokens)| (key.clone(), tokens)).collect()
@@ -96,7 +96,7 @@
         self.rows.retain(|_, row| now.since(row.seen_at) < IDLE_TIMEOUT);
     }
 
-    fn row(&mut self, key: &Key) -> &mut Row {
+    fn row(&mut self, key: &LimitKey) -> &mut Row {
         if !self.rows.contains_key(key) {
             self.rows.insert(key.clone(), Row::default());
         }
--- a/crates/router/src/quota/homes.rs
+++ b/crates/router/src/quota/ownership.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
 
-use super::Key;
+use super::LimitKey;
 use crate::drift::{mix, number};
 use crate::fleet::Fleet;
 
@@ -17,7 +17,7 @@
 const RANKED_MAX: usize = 4;
 
 /// Numbers of the gateways that a gateway can't reach.
-pub type Missing = BTreeSet<u32>;
+pub type UnreachableGateways = BTreeSet<u32>;
 
 /// Compact number that identifies a gateway in `UnreachableGateways`.
 pub fn gateway_number(name: &str) -> u32 {
@@ -25,21 +25,21 @@
 }
 
 /// Access to the unreachable gateways that each gateway reports.
-pub trait Votes {
+pub trait ReachabilityReports {
     /// Gateways that `name` can't reach; `None` without a recent report from it.
-    fn missing(&self, name: &str) -> Option<&Missing>;
+    fn missing(&self, name: &str) -> Option<&UnreachableGateways>;
 }
 
 /// Cached ranks of gateways for one edition of the gateway list.
 #[derive(Clone, Debug, Default)]
-pub struct Homes {
+pub struct Owners {
     edition: u64,
-    ranks: HashMap<Key, Rc<[String]>>,
+    ranks: HashMap<LimitKey, Rc<[String]>>,
 }
 
-impl Homes {
+impl Owners {
     /// The gateways with the highest ranks for a limit.
-    pub fn ranked(&mut self, fleet: &Fleet, key: &Key) -> Rc<[String]> {
+    pub fn ranked(&mut self, fleet: &Fleet, key: &LimitKey) -> Rc<[String]> {
         if self.edition != fleet.edition() {
             self.edition = fleet.edition();
             self.ranks.clear();
@@ -53,13 +53,24 @@
     }
 
     /// The owner for a gateway that can't reach the gateways in `unreachable`.
-    pub fn home(&mut self, fleet: &Fleet, key: &Key, unreachable: &Missing) -> Option<String> {
+    pub fn owner(
+        &mut self,
+        fleet: &Fleet,
+        key: &LimitKey,
+        unreachable: &UnreachableGateways,
+    ) -> Option<String> {
         let ranked = self.ranked(fleet, key);
         ranked.iter().find(|name| !unreachable.contains(&gateway_number(name))).cloned()
     }
 
     /// The share of a limit that the gateway `own` may grant.
-    pub fn part(&mut self, fleet: &Fleet, key: &Key, own: &str, reports: &impl Votes) -> f64 {
+    pub fn share(
+        &mut self,
+        fleet: &Fleet,
+        key: &LimitKey,
+        own: &str,
+        reports: &impl ReachabilityReports,
+    ) -> f64 {
         let ranked = self.ranked(fleet, key);
         let Some(rank) = ranked.iter().position(|name| name == own) else {
             return 0.0;
@@ -67,7 +78,7 @@
         let higher_ranked: Vec<u32> =
             ranked[..rank].iter().map(|name| gateway_number(name)).collect();
         let own = gateway_number(own);
-        let asks_here = |unreachable: &Missing| {
+        let asks_here = |unreachable: &UnreachableGateways| {
             higher_ranked.iter().all(|n| unreachable.contains(n)) && !unreachable.contains(&own)
         };
         let all = fleet.all();
@@ -77,7 +88,7 @@
     }
 }
 
-fn rank(fleet: &Fleet, key: &Key) -> Rc<[String]> {
+fn rank(fleet: &Fleet, key: &LimitKey) -> Rc<[String]> {
     let seed = key.number();
     let mut all: Vec<(f64, &String)> = fleet
         .all()
--- a/crates/router/src/content.rs
+++ b/crates/router/src/request_digest.rs
@@ -11,17 +11,17 @@
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
-pub struct Content(pub u64, pub u64);
+pub struct RequestDigest(pub u64, pub u64);
 
-impl Content {
+impl RequestDigest {
     /// Takes the first 16 bytes of a digest.
     pub fn of(digest: [u8; 16]) -> Self {
         let value = u128::from_be_bytes(digest);
-        Content((value >> 64) as u64, value as u64)
+        RequestDigest((value >> 64) as u64, value as u64)
     }
 }
 
-impl fmt::Display for Content {
+impl fmt::Display for RequestDigest {
     /// Writes the first eight digits: enough to find the request in logs, too few to confirm a guess of its
     /// body.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/router/src/comeback.rs
+++ b/crates/router/src/retry_after.rs
@@ -8,7 +8,7 @@
 
 /// Retry-after while the store has not failed: it answers within some ten milliseconds, and by then one round
 /// of the platform's readiness check, which selects other gateways, has passed.
-pub const SOON: Duration = Duration::from_millis(500);
+pub const RETRY_AFTER_MIN: Duration = Duration::from_millis(500);
 /// Smallest fraction of the caller's remaining time to wait while the store is unavailable; callers follow a
 /// retry-after up to a third of that time.
 const WAIT_FRACTION: f64 = 0.22;
@@ -19,7 +19,9 @@
 /// `draw` is uniform in 0..1.
 pub fn wait(remaining: Option<Duration>, store_down: bool, draw: f64) -> Duration {
     match remaining.filter(|_| store_down) {
-        Some(remaining) => remaining.mul_f64(WAIT_FRACTION + WAIT_SPREAD * draw).max(SOON),
-        None => SOON,
+        Some(remaining) => {
+            remaining.mul_f64(WAIT_FRACTION + WAIT_SPREAD * draw).max(RETRY_AFTER_MIN)
+        }
+        None => RETRY_AFTER_MIN,
     }
 }
--- a/crates/router/src/share.rs
+++ b/crates/router/src/share.rs
@@ -15,10 +15,10 @@
 use crate::delegate::{Link, SILENT};
 use crate::fleet::Fleet;
 use crate::forecast::Profile;
-use crate::limits::Named;
-use crate::quarantine::Word;
-use crate::quota::homes::{Missing, gateway_number};
-use crate::quota::{Answer, Ask, Key};
+use crate::limits::LimitUpdate;
+use crate::quarantine::QuarantineUpdate;
+use crate::quota::ownership::{UnreachableGateways, gateway_number};
+use crate::quota::{LeaseRequest, LeaseResponse, LimitKey};
 use crate::varint;
 use crate::zones::Digest;
 
@@ -145,7 +145,7 @@
     pub notes: u64,
     /// Hashes of the gateways that the sender can't reach.
     #[serde(rename = "m", default, skip_serializing_if = "BTreeSet::is_empty")]
-    pub missing: Missing,
+    pub missing: UnreachableGateways,
     /// Summaries of other availability zones that a zone leader relays.
     #[serde(rename = "d", default, skip_serializing_if = "Vec::is_empty")]
     pub digests: Vec<Digest>,
@@ -156,13 +156,13 @@
 pub struct Notes {
     /// Observations of requests that crash backend servers.
     #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
-    pub words: Vec<Word>,
+    pub words: Vec<QuarantineUpdate>,
     /// Incarnations of backend servers that announced that they are leaving.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
     pub leaving: Vec<ServerId>,
     /// Rate limits that backend servers announced.
     #[serde(rename = "r", default, skip_serializing_if = "Vec::is_empty")]
-    pub limits: Vec<Named>,
+    pub limits: Vec<LimitUpdate>,
 }
 
 impl Notes {
@@ -187,11 +187,11 @@
     /// Zone summary, sent to another availability zone.
     Digest(Digest),
     /// Request for tokens, sent to the owner of a rate limit or quota.
-    Ask(Ask),
+    Ask(LeaseRequest),
     /// Reply of the owner.
-    Answer(Answer),
+    Answer(LeaseResponse),
     /// Returns unused tokens to the owner.
-    Unused(Key, u64),
+    Unused(LimitKey, u64),
     /// Queries the age of the configuration; carries the number of the query.
     Age(u64),
     /// Reply: the number of the query, the version in force, and the milliseconds since it was
@@ -247,7 +247,7 @@
     }
 
     /// Returns the gateways from which this one, named `own`, receives nothing.
-    pub fn missing(&self, now: Timestamp, fleet: &Fleet, own: &str) -> Missing {
+    pub fn missing(&self, now: Timestamp, fleet: &Fleet, own: &str) -> UnreachableGateways {
         let others = fleet.all().keys().filter(|name| *name != own);
         others
             .filter(|name| self.recent_report(now, name).is_none())
@@ -256,7 +256,7 @@
     }
 
     /// Returns the gateways that another gateway reports as unreachable; `None` when it is silent.
-    pub fn missed_by(&self, now: Timestamp, name: &str) -> Option<&Missing> {
+    pub fn missed_by(&self, now: Timestamp, name: &str) -> Option<&UnreachableGateways> {
         self.recent_report(now, name).map(|share| &share.missing)
     }
 
--- a/crates/router/tests/accounts.rs
+++ b/crates/router/tests/accounts.rs
@@ -30,9 +30,9 @@
 #[test]
 fn a_key_belongs_to_the_account_that_holds_it() {
     let accounts = two_accounts();
-    assert_eq!(accounts.of_key(&key(2)).map(|a| a.name.as_str()), Some("one"));
-    assert_eq!(accounts.of_key(&key(3)).map(|a| a.name.as_str()), Some("two"));
-    assert!(accounts.of_key(&key(4)).is_none());
+    assert_eq!(accounts.find_by_key(&key(2)).map(|a| a.name.as_str()), Some("one"));
+    assert_eq!(accounts.find_by_key(&key(3)).map(|a| a.name.as_str()), Some("two"));
+    assert!(accounts.find_by_key(&key(4)).is_none());
 }
 
 #[test]
@@ -48,8 +48,8 @@
         account_with_key("a", digest_ending_in(1)),
         account_with_key("b", digest_ending_in(2)),
     ]);
-    assert_eq!(accounts.of_key(&digest_ending_in(2)).map(|a| a.name.as_str()), Some("b"));
-    assert!(accounts.of_key(&digest_ending_in(3)).is_none());
+    assert_eq!(accounts.find_by_key(&digest_ending_in(2)).map(|a| a.name.as_str()), Some("b"));
+    assert!(accounts.find_by_key(&digest_ending_in(3)).is_none());
 }
 
 #[test]
@@ -73,23 +73,23 @@
     ciborium::into_writer(&two_accounts(), &mut bytes).expect("encoded");
     let decoded: Accounts = ciborium::from_reader(&bytes[..]).expect("decoded");
     assert_eq!(decoded, two_accounts());
-    assert_eq!(decoded.of_key(&key(3)).map(|a| a.name.as_str()), Some("two"));
+    assert_eq!(decoded.find_by_key(&key(3)).map(|a| a.name.as_str()), Some("two"));
 }
 
 #[test]
 fn cost_of_a_request() {
     let tokens = Unit::Tokens { plain: 200 };
-    assert_eq!(tokens.weigh(Size::Tokens(5_072)), Some(5_072));
-    assert_eq!(tokens.weigh(Size::Unstated), Some(200));
-    assert_eq!(tokens.weigh(Size::Malformed), None);
-    assert_eq!(tokens.weigh(Size::Tokens(1 << 63)), None);
-    assert_eq!(Unit::Requests.weigh(Size::Malformed), Some(1));
+    assert_eq!(tokens.cost(Size::Tokens(5_072)), Some(5_072));
+    assert_eq!(tokens.cost(Size::Unstated), Some(200));
+    assert_eq!(tokens.cost(Size::Malformed), None);
+    assert_eq!(tokens.cost(Size::Tokens(1 << 63)), None);
+    assert_eq!(Unit::Requests.cost(Size::Malformed), Some(1));
 }
 
 proptest! {
     #[test]
     fn the_cost_is_the_stated_size_or_none(stated in any::<u64>(), plain in 0_u64..1_000_000) {
-        let cost = Unit::Tokens { plain }.weigh(Size::Tokens(stated));
+        let cost = Unit::Tokens { plain }.cost(Size::Tokens(stated));
         prop_assert_eq!(cost, (stated <= COST_MAX).then_some(stated));
     }
 
@@ -98,7 +98,7 @@
         let quota = Some(Quota { bound: Rate { rate: 1.0, burst: 1.0 }, unit: Unit::Requests });
         let rows = (0..count).map(|n| Account { quota, ..account(&n.to_string(), &[n]) });
         let accounts = Accounts::from(rows.collect::<Vec<_>>());
-        let found = accounts.of_key(&key(wanted)).map(|a| a.name.as_str().to_owned());
+        let found = accounts.find_by_key(&key(wanted)).map(|a| a.name.as_str().to_owned());
         prop_assert_eq!(found, (wanted < count).then(|| wanted.to_string()));
     }
 }
--- a/crates/router/tests/budget.rs
+++ b/crates/router/tests/budget.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ebonyloft_core::time::Timestamp;
-use ebonyloft_router::budget::{Arrivals, Budget, Lack, Next};
+use ebonyloft_router::budget::{Arrivals, Budget, NextSend, RequiredRetries};
 use ebonyloft_router::node::{Bounds, Excess};
 use proptest::prelude::*;
 
@@ -24,9 +24,9 @@
 
 /// Reserves and commits one retry.
 fn try_retry(budget: &mut Budget, now: Timestamp, gateways: usize) -> bool {
-    let granted = budget.hold(now, &bounds(), gateways, Lack::Sure(1));
+    let granted = budget.reserve(now, &bounds(), gateways, RequiredRetries::Sure(1));
     if granted {
-        budget.spend(now);
+        budget.commit(now);
     }
     granted
 }
@@ -49,7 +49,7 @@
     let mut budget = Budget::new(start);
     let now = Timestamp::from_millis(5_000);
     for _ in 0..1_000 {
-        budget.earn(now, &bounds());
+        budget.on_request(now, &bounds());
     }
     let spent = (0..1_000).filter(|_| try_retry(&mut budget, now, 4)).count();
     // 0.8 of a fifth of the requests, plus 0.8 of three quarters of a quarter of 54.
@@ -68,54 +68,54 @@
 #[test]
 fn a_lost_first_prompt_makes_the_run_a_retry() {
     let mut arrivals = Arrivals::default();
-    assert_eq!(arrivals.lacks(Next::Run), None);
-    assert_eq!(arrivals.lacks(Next::Prompt), Some(Lack::Unlikely));
-    arrivals.take(Lack::Unlikely);
+    assert_eq!(arrivals.required_retries(NextSend::Run), None);
+    assert_eq!(arrivals.required_retries(NextSend::Prompt), Some(RequiredRetries::Unlikely));
+    arrivals.on_reserved(RequiredRetries::Unlikely);
     assert!(!arrivals.send());
     // After the loss the following run is covered, another prompt is not.
-    assert_eq!(arrivals.lacks(Next::Run), None);
-    assert_eq!(arrivals.lacks(Next::Prompt), Some(Lack::Sure(1)));
+    assert_eq!(arrivals.required_retries(NextSend::Run), None);
+    assert_eq!(arrivals.required_retries(NextSend::Prompt), Some(RequiredRetries::Sure(1)));
     assert!(arrivals.send());
-    assert_eq!(arrivals.close(), 0);
+    assert_eq!(arrivals.finish(), 0);
 }
 
 #[test]
 fn an_accepted_first_prompt_is_no_retry() {
     let mut arrivals = Arrivals::default();
-    arrivals.take(Lack::Unlikely);
+    arrivals.on_reserved(RequiredRetries::Unlikely);
     assert!(!arrivals.send());
-    assert!(!arrivals.accept());
-    assert_eq!(arrivals.spare(), 1);
+    assert!(!arrivals.on_prompt_accepted());
+    assert_eq!(arrivals.drop_unneeded(), 1);
     assert!(!arrivals.send());
-    assert_eq!(arrivals.close(), 0);
+    assert_eq!(arrivals.finish(), 0);
 }
 
 #[test]
 fn an_accepted_second_prompt_is_one_retry() {
     let mut arrivals = Arrivals::default();
-    arrivals.take(Lack::Unlikely);
+    arrivals.on_reserved(RequiredRetries::Unlikely);
     arrivals.send();
-    arrivals.accept();
-    arrivals.spare();
-    assert_eq!(arrivals.lacks(Next::Prompt), Some(Lack::Unlikely));
-    arrivals.take(Lack::Unlikely);
+    arrivals.on_prompt_accepted();
+    arrivals.drop_unneeded();
+    assert_eq!(arrivals.required_retries(NextSend::Prompt), Some(RequiredRetries::Unlikely));
+    arrivals.on_reserved(RequiredRetries::Unlikely);
     assert!(!arrivals.send());
-    assert!(!arrivals.accept());
-    assert_eq!(arrivals.spare(), 0);
+    assert!(!arrivals.on_prompt_accepted());
+    assert_eq!(arrivals.drop_unneeded(), 0);
     assert!(arrivals.send());
-    assert_eq!(arrivals.close(), 0);
+    assert_eq!(arrivals.finish(), 0);
 }
 
 #[test]
 fn an_undelivered_send_is_reserved_again() {
     let (now, mut budget) = (Timestamp::from_millis(20_000), Budget::new(Timestamp(0)));
-    let left = budget.left(now, &bounds(), 1);
-    assert!(budget.hold(now, &bounds(), 1, Lack::Sure(2)));
-    budget.spend(now);
-    budget.take_back();
-    assert_eq!(budget.left(now, &bounds(), 1), left - 2.0);
+    let left = budget.available(now, &bounds(), 1);
+    assert!(budget.reserve(now, &bounds(), 1, RequiredRetries::Sure(2)));
+    budget.commit(now);
+    budget.uncommit();
+    assert_eq!(budget.available(now, &bounds(), 1), left - 2.0);
     budget.release(2);
-    assert_eq!(budget.left(now, &bounds(), 1), left);
+    assert_eq!(budget.available(now, &bounds(), 1), left);
 }
 
 /// How a simulated send ends.
@@ -127,43 +127,47 @@
 }
 
 /// Simulates one request; returns its retries by independent count, and the retries taken from the budget.
-fn simulate(budget: &mut Budget, now: Timestamp, sends: &[(Next, SendResult)]) -> (usize, usize) {
+fn simulate(
+    budget: &mut Budget,
+    now: Timestamp,
+    sends: &[(NextSend, SendResult)],
+) -> (usize, usize) {
     let before = budget.counts().1;
     let mut arrivals = Arrivals::default();
     let (mut counted, mut prompt_accepted) = (0_usize, false);
     for (next, result) in sends {
-        if let Some(required) = arrivals.lacks(*next) {
-            if !budget.hold(now, &bounds(), 4, required) {
+        if let Some(required) = arrivals.required_retries(*next) {
+            if !budget.reserve(now, &bounds(), 4, required) {
                 continue;
             }
-            arrivals.take(required);
+            arrivals.on_reserved(required);
         }
         if arrivals.send() {
-            budget.spend(now);
+            budget.commit(now);
         }
-        let uncounted = *next == Next::Prompt && !prompt_accepted;
+        let uncounted = *next == NextSend::Prompt && !prompt_accepted;
         match (result, next) {
             (SendResult::Unsent, _) => {
-                if arrivals.unsend() {
-                    budget.take_back();
+                if arrivals.on_undelivered() {
+                    budget.uncommit();
                 }
             }
-            (SendResult::Accepted, Next::Prompt) => {
+            (SendResult::Accepted, NextSend::Prompt) => {
                 counted += usize::from(!uncounted);
                 prompt_accepted = true;
-                if arrivals.accept() {
-                    budget.take_back();
+                if arrivals.on_prompt_accepted() {
+                    budget.uncommit();
                 }
-                budget.release(arrivals.spare());
+                budget.release(arrivals.drop_unneeded());
             }
-            (SendResult::Accepted, Next::Run) => {
+            (SendResult::Accepted, NextSend::Run) => {
                 counted += 1;
                 break;
             }
             (SendResult::Lost, _) => counted += 1,
         }
     }
-    budget.release(arrivals.close());
+    budget.release(arrivals.finish());
     (counted.saturating_sub(1), budget.counts().1 - before)
 }
 
@@ -171,15 +175,18 @@
 #[test]
 fn a_first_prompt_needs_less_than_one_whole_retry() {
     let (now, mut budget) = (Timestamp::from_millis(20_000), Budget::new(Timestamp(0)));
-    assert!(budget.left(now, &bounds(), 200) < 1.0);
-    assert!(!budget.hold(now, &bounds(), 200, Lack::Sure(1)));
-    assert!(budget.hold(now, &bounds(), 200, Lack::Unlikely));
+    assert!(budget.available(now, &bounds(), 200) < 1.0);
+    assert!(!budget.reserve(now, &bounds(), 200, RequiredRetries::Sure(1)));
+    assert!(budget.reserve(now, &bounds(), 200, RequiredRetries::Unlikely));
     assert!(
-        !budget.hold(now, &bounds(), 200, Lack::Unlikely),
+        !budget.reserve(now, &bounds(), 200, RequiredRetries::Unlikely),
         "the first reservation is still held"
     );
-    budget.spend(now);
-    assert!(!budget.hold(now, &bounds(), 200, Lack::Unlikely), "the first retry is committed");
+    budget.commit(now);
+    assert!(
+        !budget.reserve(now, &bounds(), 200, RequiredRetries::Unlikely),
+        "the first retry is committed"
+    );
 }
 
 proptest! {
@@ -192,11 +199,11 @@
         let now = Timestamp::from_millis(20_000);
         let mut budget = Budget::new(Timestamp(0));
         for sends in requests {
-            budget.earn(now, &bounds());
-            let sends: Vec<(Next, SendResult)> = sends
+            budget.on_request(now, &bounds());
+            let sends: Vec<(NextSend, SendResult)> = sends
                 .into_iter()
                 .map(|(next, result)| {
-                    let next = [Next::Prompt, Next::Run][usize::from(next)];
+                    let next = [NextSend::Prompt, NextSend::Run][usize::from(next)];
                     (next, [SendResult::Accepted, SendResult::Lost, SendResult::Unsent][usize::from(result)])
                 })
                 .collect();
@@ -219,7 +226,7 @@
         for (i, (gateway, arrived, wanted)) in ticks.iter().enumerate() {
             let now = start.after(Duration::from_millis(10_000 + 37 * i as u64));
             for _ in 0..*arrived {
-                budgets[*gateway].earn(now, &bounds);
+                budgets[*gateway].on_request(now, &bounds);
                 requests.push(now);
             }
             for _ in 0..*wanted {
--- a/crates/router/tests/comeback.rs
+++ b/crates/router/tests/comeback.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use ebonyloft_router::comeback::{SOON, wait};
+use ebonyloft_router::retry_after::{RETRY_AFTER_MIN, wait};
 
 const LEFT: Duration = Duration::from_secs(14);
 
 #[test]
 fn the_wait_is_short_while_the_store_answers() {
-    assert_eq!(wait(Some(LEFT), false, 0.9), SOON);
-    assert_eq!(wait(None, false, 0.9), SOON);
+    assert_eq!(wait(Some(LEFT), false, 0.9), RETRY_AFTER_MIN);
+    assert_eq!(wait(None, false, 0.9), RETRY_AFTER_MIN);
 }
 
 /// Callers don't follow a retry-after beyond a third of their remaining time.
@@ -18,8 +18,8 @@
     for draw in [0.0, 0.5, 1.0] {
         let asked = wait(Some(LEFT), true, draw);
         assert!(asked > Duration::from_secs(3) && asked < LEFT / 3, "{asked:?}");
-        assert_eq!(wait(Some(Duration::from_millis(1_500)), true, draw), SOON);
-        assert_eq!(wait(None, true, draw), SOON);
+        assert_eq!(wait(Some(Duration::from_millis(1_500)), true, draw), RETRY_AFTER_MIN);
+        assert_eq!(wait(None, true, draw), RETRY_AFTER_MIN);
     }
 }
 
--- a/crates/router/tests/events.rs
+++ b/crates/router/tests/events.rs
@@ -22,7 +22,7 @@
             }
         }
         prop_assert_eq!(out, expected);
-        prop_assert_eq!(splitter.last(), Some(19));
+        prop_assert_eq!(splitter.last_id(), Some(19));
         prop_assert!(!splitter.is_partial());
     }
 
@@ -34,8 +34,8 @@
         let cut = cut.min(expected.len());
         let mut splitter = Splitter::default();
         let mut out = splitter.push(&expected[..cut]);
-        splitter.restart();
-        let next = splitter.last().map_or(1, |l| l + 1);
+        splitter.discard_incomplete();
+        let next = splitter.last_id().map_or(1, |l| l + 1);
         out.extend(splitter.push(&stream(next.saturating_sub(repeated).max(1)..15)));
         prop_assert_eq!(out, expected);
     }
@@ -53,11 +53,11 @@
 fn carriage_returns_end_events_too() {
     let mut splitter = Splitter::default();
     assert_eq!(splitter.push(b"id: 4\r\ndata: x\r\n\r\n"), b"id: 4\r\ndata: x\r\n\r\n");
-    assert_eq!(splitter.last(), Some(4));
+    assert_eq!(splitter.last_id(), Some(4));
 }
 
 #[test]
 fn a_resuming_caller_gets_no_event_twice() {
-    let mut splitter = Splitter::behind(Some(3));
+    let mut splitter = Splitter::resuming_after(Some(3));
     assert_eq!(splitter.push(&stream(1..6)), stream(4..6));
 }
--- a/crates/router/tests/line.rs
+++ b/crates/router/tests/line.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 use ebonyloft_core::time::Timestamp;
+use ebonyloft_router::admission_queue::{AdmissionQueue, QueueDecision, Ticket};
 use ebonyloft_router::catalog::Server;
-use ebonyloft_router::line::{Line, Ticket, Turn};
-use ebonyloft_router::outcome::{Fate, Load};
-use ebonyloft_router::plain::{Plain, STUCK_AFTER};
+use ebonyloft_router::outcome::{AttemptOutcome, Load};
+use ebonyloft_router::plain_servers::{PlainServers, STUCK_AFTER};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -65,8 +65,8 @@
     now: Timestamp,
     servers: Vec<Server>,
     backends: Vec<Backend>,
-    plain: Vec<Plain>,
-    queues: Vec<Line>,
+    plain: Vec<PlainServers>,
+    queues: Vec<AdmissionQueue>,
     waiting: Vec<(Ticket, Call)>,
     /// Calls to be retried, with the time of the retry.
     retries: Vec<(Timestamp, Call)>,
@@ -82,8 +82,8 @@
             now: at(0),
             servers: (0..5).map(|i| server(i, SLOTS as u32, None)).collect(),
             backends: (0..5).map(|_| Backend::default()).collect(),
-            plain: vec![Plain::default(); GATEWAYS],
-            queues: vec![Line::default(); GATEWAYS],
+            plain: vec![PlainServers::default(); GATEWAYS],
+            queues: vec![AdmissionQueue::default(); GATEWAYS],
             waiting: Vec::new(),
             retries: Vec::new(),
             asked: 0,
@@ -127,19 +127,19 @@
         if !self.scenario.queue {
             return self.send(call);
         }
-        let ticket = self.queues[call.gateway].join(self.now, self.now.after(GOAL), GOAL);
+        let ticket = self.queues[call.gateway].enqueue(self.now, self.now.after(GOAL), GOAL);
         self.waiting.push((ticket, call));
     }
 
     fn advance_queues(&mut self) {
         for (ticket, call) in std::mem::take(&mut self.waiting) {
-            match self.queues[call.gateway].turn(self.now, ticket) {
-                Turn::Wait(_) => self.waiting.push((ticket, call)),
-                Turn::Go => {
+            match self.queues[call.gateway].decide(self.now, ticket) {
+                QueueDecision::Wait(_) => self.waiting.push((ticket, call)),
+                QueueDecision::Go => {
                     self.queues[call.gateway].leave(ticket);
                     self.send(call);
                 }
-                Turn::Refuse => {
+                QueueDecision::Refuse => {
                     self.queues[call.gateway].leave(ticket);
                     self.refuse(call);
                 }
@@ -163,8 +163,8 @@
         let picked = plain.pick(self.now, "z", self.servers[..alive].iter(), &[], || rng.random());
         let id = picked.expect("at least one server").id.clone();
         let i = self.servers.iter().position(|s| s.id == id).expect("the server is in the list");
-        plain.sent(self.now, &id);
-        self.queues[call.gateway].sent(self.now);
+        plain.on_sent(self.now, &id);
+        self.queues[call.gateway].on_sent(self.now);
         let backend = &mut self.backends[i];
         if backend.running.len() < SLOTS {
             let end = self.now.after(Duration::from_secs_f64(call.work));
@@ -172,8 +172,8 @@
         } else if backend.queue.len() < QUEUE {
             backend.queue.push_back((self.now, call));
         } else {
-            plain.ended(self.now, &id, self.now, Fate::Rejected, None);
-            self.queues[call.gateway].ended(self.now, self.now, Fate::Rejected, None);
+            plain.on_ended(self.now, &id, self.now, AttemptOutcome::Rejected, None);
+            self.queues[call.gateway].on_ended(self.now, self.now, AttemptOutcome::Rejected, None);
             match call.rejections {
                 0 | 1 if !self.scenario.queue => {
                     self.send(Call { rejections: call.rejections + 1, ..call })
@@ -199,8 +199,14 @@
                     (self.backends[i].running.len() as u32, self.backends[i].queue.len() as u32);
                 let load = Some(Load { running, waiting, slots: SLOTS as u32 });
                 let id = &self.servers[i].id;
-                self.plain[call.gateway].ended(now, id, sent, Fate::Answered(200), load);
-                self.queues[call.gateway].ended(now, sent, Fate::Answered(200), load);
+                self.plain[call.gateway].on_ended(
+                    now,
+                    id,
+                    sent,
+                    AttemptOutcome::Answered(200),
+                    load,
+                );
+                self.queues[call.gateway].on_ended(now, sent, AttemptOutcome::Answered(200), load);
                 self.in_time += u32::from(now <= call.goal);
             }
         }
@@ -252,72 +258,72 @@
 }
 
 /// Sends as many calls as the queue admits at once, and returns their number.
-fn fill(queue: &mut Line) -> usize {
+fn fill(queue: &mut AdmissionQueue) -> usize {
     let mut sent = 0;
     loop {
-        let ticket = queue.join(NOW, after(300), GOAL);
-        let turn = queue.turn(NOW, ticket);
+        let ticket = queue.enqueue(NOW, after(300), GOAL);
+        let turn = queue.decide(NOW, ticket);
         queue.leave(ticket);
-        if turn != Turn::Go {
+        if turn != QueueDecision::Go {
             return sent;
         }
-        queue.sent(NOW);
+        queue.on_sent(NOW);
         sent += 1;
     }
 }
 
 #[test]
 fn the_earliest_goal_goes_first() {
-    let mut queue = Line::default();
+    let mut queue = AdmissionQueue::default();
     fill(&mut queue);
-    let late = queue.join(NOW, after(400), GOAL);
-    let early = queue.join(NOW, after(200), GOAL);
-    queue.dropped(NOW);
-    assert_eq!(queue.turn(NOW, early), Turn::Go);
-    assert!(matches!(queue.turn(NOW, late), Turn::Wait(_)));
+    let late = queue.enqueue(NOW, after(400), GOAL);
+    let early = queue.enqueue(NOW, after(200), GOAL);
+    queue.on_abandoned(NOW);
+    assert_eq!(queue.decide(NOW, early), QueueDecision::Go);
+    assert!(matches!(queue.decide(NOW, late), QueueDecision::Wait(_)));
 }
 
 #[test]
 fn a_call_that_cannot_be_in_time_is_refused_at_once() {
-    let mut queue = Line::default();
+    let mut queue = AdmissionQueue::default();
     fill(&mut queue);
-    let tickets: Vec<Ticket> = (0..40).map(|_| queue.join(NOW, after(300), GOAL)).collect();
-    assert_eq!(queue.turn(NOW, tickets[39]), Turn::Refuse);
-    assert!(matches!(queue.turn(NOW, tickets[0]), Turn::Wait(_)));
+    let tickets: Vec<Ticket> = (0..40).map(|_| queue.enqueue(NOW, after(300), GOAL)).collect();
+    assert_eq!(queue.decide(NOW, tickets[39]), QueueDecision::Refuse);
+    assert!(matches!(queue.decide(NOW, tickets[0]), QueueDecision::Wait(_)));
 }
 
 #[test]
 fn long_queues_and_rejections_lower_the_limit_once_a_round() {
-    let mut queue = Line::default();
+    let mut queue = AdmissionQueue::default();
     let sent = fill(&mut queue);
     let long = Some(Load { running: 6, waiting: 12, slots: 6 });
     for _ in 0..sent {
-        queue.ended(after(60), NOW, Fate::Answered(200), long);
+        queue.on_ended(after(60), NOW, AttemptOutcome::Answered(200), long);
     }
-    let once = queue.window();
+    let once = queue.concurrency_limit();
     assert!((once - 0.9 * sent as f64).abs() < 1e-9, "{once}");
-    queue.sent(after(70));
-    queue.ended(after(80), after(70), Fate::Rejected, None);
-    assert!(queue.window() < once);
+    queue.on_sent(after(70));
+    queue.on_ended(after(80), after(70), AttemptOutcome::Rejected, None);
+    assert!(queue.concurrency_limit() < once);
 }
 
 /// Calls that hang at one backend server must not block calls to the others.
 #[test]
 fn stuck_calls_do_not_use_up_the_limit() {
-    let mut queue = Line::default();
+    let mut queue = AdmissionQueue::default();
     fill(&mut queue);
     let now = NOW.after(STUCK_AFTER);
-    let ticket = queue.join(now, now.after(GOAL), GOAL);
-    assert_eq!(queue.turn(now, ticket), Turn::Go);
+    let ticket = queue.enqueue(now, now.after(GOAL), GOAL);
+    assert_eq!(queue.decide(now, ticket), QueueDecision::Go);
 }
 
 #[test]
 fn free_slots_raise_the_limit_quickly() {
-    let mut queue = Line::default();
-    let before = queue.window();
+    let mut queue = AdmissionQueue::default();
+    let before = queue.concurrency_limit();
     let free = Some(Load { running: 3, waiting: 0, slots: 6 });
     for _ in 0..fill(&mut queue) {
-        queue.ended(after(60), NOW, Fate::Answered(200), free);
+        queue.on_ended(after(60), NOW, AttemptOutcome::Answered(200), free);
     }
-    assert!(queue.window() > before, "{}", queue.window());
+    assert!(queue.concurrency_limit() > before, "{}", queue.concurrency_limit());
 }
--- a/crates/router/tests/losses.rs
+++ b/crates/router/tests/losses.rs
@@ -4,11 +4,12 @@
 
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Server, ServerId};
-use ebonyloft_router::content::Content;
 use ebonyloft_router::drift::Drift;
-use ebonyloft_router::losses::{
-    CALL_WAIT, Found, INVESTIGATION_TIMEOUT, Loss, Losses, PROBE_INTERVAL, STREAM_WAIT,
+use ebonyloft_router::lost_attempts::{
+    CALL_PROBE_DELAY, INVESTIGATION_TIMEOUT, LostAttempt, LostAttempts, PROBE_INTERVAL,
+    ProbeResult, STREAM_PROBE_DELAY,
 };
+use ebonyloft_router::request_digest::RequestDigest;
 
 const NOW: Timestamp = Timestamp::from_millis(1_000_000);
 /// Time between sending an attempt and losing it.
@@ -26,90 +27,96 @@
     }
 }
 
-fn loss(content: u64, at: Timestamp) -> Loss {
-    Loss { content: Content(content, 0), early: true, sent: at.before(RUN), at, number: content }
+fn loss(content: u64, at: Timestamp) -> LostAttempt {
+    LostAttempt {
+        content: RequestDigest(content, 0),
+        early: true,
+        sent: at.before(RUN),
+        at,
+        number: content,
+    }
 }
 
-fn probed(losses: &mut Losses, now: Timestamp) -> Vec<String> {
-    losses.ask(now).into_iter().map(|(id, _)| id.name).collect()
+fn probed(losses: &mut LostAttempts, now: Timestamp) -> Vec<String> {
+    losses.due_probes(now).into_iter().map(|(id, _)| id.name).collect()
 }
 
 #[test]
 fn a_server_that_answers_later_did_not_crash() {
-    let mut losses = Losses::default();
-    losses.lost(&server("a"), loss(1, NOW), STREAM_WAIT);
+    let mut losses = LostAttempts::default();
+    losses.add(&server("a"), loss(1, NOW), STREAM_PROBE_DELAY);
     // Sent before the loss: the server may have answered and then crashed.
     let before = NOW.before(Duration::from_millis(1));
-    assert_eq!(losses.alive(&ServerId::new("a", 0), before), []);
-    assert!(losses.is_open(&Content(1, 0)));
-    assert_eq!(losses.alive(&ServerId::new("a", 0), NOW), [loss(1, NOW)]);
-    assert!(!losses.is_open(&Content(1, 0)));
-    assert_eq!(losses.ended(&ServerId::new("a", 0)), []);
+    assert_eq!(losses.on_answer(&ServerId::new("a", 0), before), []);
+    assert!(losses.is_investigated(&RequestDigest(1, 0)));
+    assert_eq!(losses.on_answer(&ServerId::new("a", 0), NOW), [loss(1, NOW)]);
+    assert!(!losses.is_investigated(&RequestDigest(1, 0)));
+    assert_eq!(losses.on_crash(&ServerId::new("a", 0)), []);
 }
 
 #[test]
 fn servers_are_probed_soon_for_streams_and_later_for_calls() {
-    let mut losses = Losses::default();
-    losses.lost(&server("a"), loss(1, NOW), STREAM_WAIT);
-    losses.lost(&server("b"), loss(2, NOW), CALL_WAIT);
+    let mut losses = LostAttempts::default();
+    losses.add(&server("a"), loss(1, NOW), STREAM_PROBE_DELAY);
+    losses.add(&server("b"), loss(2, NOW), CALL_PROBE_DELAY);
     assert!(probed(&mut losses, NOW).is_empty());
-    assert_eq!(losses.next_ask(), Some(NOW.after(STREAM_WAIT)));
-    assert_eq!(probed(&mut losses, NOW.after(STREAM_WAIT)), ["a"]);
-    assert!(probed(&mut losses, NOW.after(STREAM_WAIT)).is_empty(), "one probe at a time");
-    assert_eq!(probed(&mut losses, NOW.after(CALL_WAIT)), ["a", "b"]);
+    assert_eq!(losses.next_probe_at(), Some(NOW.after(STREAM_PROBE_DELAY)));
+    assert_eq!(probed(&mut losses, NOW.after(STREAM_PROBE_DELAY)), ["a"]);
+    assert!(probed(&mut losses, NOW.after(STREAM_PROBE_DELAY)).is_empty(), "one probe at a time");
+    assert_eq!(probed(&mut losses, NOW.after(CALL_PROBE_DELAY)), ["a", "b"]);
 }
 
 /// A server with too many connections refuses one too.
 #[test]
 fn a_crash_needs_two_refused_connections() {
-    let (mut losses, id) = (Losses::default(), ServerId::new("a", 0));
-    losses.lost(&server("a"), loss(1, NOW), STREAM_WAIT);
-    assert!(!losses.found(&id, Found::Nobody));
-    losses.alive(&id, NOW.before(Duration::from_millis(1)));
-    assert!(!losses.found(&id, Found::Nobody), "the server answered in between");
-    assert!(losses.found(&id, Found::Nobody));
-    assert_eq!(losses.ended(&id), [loss(1, NOW)]);
+    let (mut losses, id) = (LostAttempts::default(), ServerId::new("a", 0));
+    losses.add(&server("a"), loss(1, NOW), STREAM_PROBE_DELAY);
+    assert!(!losses.on_probe_result(&id, ProbeResult::Nobody));
+    losses.on_answer(&id, NOW.before(Duration::from_millis(1)));
+    assert!(!losses.on_probe_result(&id, ProbeResult::Nobody), "the server answered in between");
+    assert!(losses.on_probe_result(&id, ProbeResult::Nobody));
+    assert_eq!(losses.on_crash(&id), [loss(1, NOW)]);
 }
 
 #[test]
 fn another_incarnation_at_the_address_means_a_crash() {
-    let (mut losses, id) = (Losses::default(), ServerId::new("a", 0));
-    losses.lost(&server("a"), loss(1, NOW), STREAM_WAIT);
-    assert!(!losses.found(&id, Found::Silence));
-    assert!(losses.found(&id, Found::Other));
+    let (mut losses, id) = (LostAttempts::default(), ServerId::new("a", 0));
+    losses.add(&server("a"), loss(1, NOW), STREAM_PROBE_DELAY);
+    assert!(!losses.on_probe_result(&id, ProbeResult::Silence));
+    assert!(losses.on_probe_result(&id, ProbeResult::Other));
 }
 
 /// Guards against refusing a request that many callers send: each crashed server was sent it again before its
 /// registration expired and closed the connection, which was taken for a crash caused by that request.
 #[test]
 fn an_attempt_sent_after_the_crash_did_not_cause_it() {
-    let mut losses = Losses::default();
+    let mut losses = LostAttempts::default();
     let id = ServerId::new("a", 0);
-    losses.lost(&server("a"), loss(1, NOW), STREAM_WAIT);
+    losses.add(&server("a"), loss(1, NOW), STREAM_PROBE_DELAY);
     // Both were lost later: the first was running when the server crashed, the second was sent afterwards.
-    losses.lost(&server("a"), loss(2, NOW.after(RUN / 2)), STREAM_WAIT);
-    losses.lost(&server("a"), loss(3, NOW.after(RUN * 2)), STREAM_WAIT);
-    assert_eq!(losses.ended(&id), [loss(1, NOW), loss(2, NOW.after(RUN / 2))]);
+    losses.add(&server("a"), loss(2, NOW.after(RUN / 2)), STREAM_PROBE_DELAY);
+    losses.add(&server("a"), loss(3, NOW.after(RUN * 2)), STREAM_PROBE_DELAY);
+    assert_eq!(losses.on_crash(&id), [loss(1, NOW), loss(2, NOW.after(RUN / 2))]);
 }
 
 #[test]
 fn a_new_incarnation_ends_only_the_previous_one() {
-    let mut losses = Losses::default();
+    let mut losses = LostAttempts::default();
     let (old, new) = (ServerId::new("a", 1), ServerId::new("a", 2));
     for id in [&old, &new] {
-        losses.lost(&Server { id: id.clone(), ..server("a") }, loss(1, NOW), STREAM_WAIT);
+        losses.add(&Server { id: id.clone(), ..server("a") }, loss(1, NOW), STREAM_PROBE_DELAY);
     }
-    losses.lost(&server("b"), loss(2, NOW), STREAM_WAIT);
-    assert_eq!(losses.ended_but("a", Some(&new)), [(old, vec![loss(1, NOW)])]);
-    assert_eq!(losses.ended_but("a", None), [(new, vec![loss(1, NOW)])]);
-    assert!(losses.is_open(&Content(2, 0)));
+    losses.add(&server("b"), loss(2, NOW), STREAM_PROBE_DELAY);
+    assert_eq!(losses.on_crash_except("a", Some(&new)), [(old, vec![loss(1, NOW)])]);
+    assert_eq!(losses.on_crash_except("a", None), [(new, vec![loss(1, NOW)])]);
+    assert!(losses.is_investigated(&RequestDigest(2, 0)));
 }
 
 /// A crashed server is back after some seconds; probes must continue until then.
 #[test]
 fn probes_are_spread_over_seconds() {
-    let mut losses = Losses::default();
-    losses.lost(&server("a"), loss(1, NOW), STREAM_WAIT);
+    let mut losses = LostAttempts::default();
+    losses.add(&server("a"), loss(1, NOW), STREAM_PROBE_DELAY);
     let mut probed_at = Vec::new();
     for step in 0..(INVESTIGATION_TIMEOUT.as_millis() / 10) as u32 {
         let now = NOW.after(Duration::from_millis(10) * step);
@@ -123,8 +130,8 @@
 
 #[test]
 fn another_registration_at_the_address_ends_the_server() {
-    let mut losses = Losses::default();
-    losses.lost(&server("a"), loss(1, NOW), STREAM_WAIT);
+    let mut losses = LostAttempts::default();
+    losses.add(&server("a"), loss(1, NOW), STREAM_PROBE_DELAY);
     let addr = server("a").addr;
     assert_eq!(losses.replaced(addr, &ServerId::new("a", 0)), []);
     assert_eq!(losses.replaced(addr, &ServerId::new("b", 0)), [ServerId::new("a", 0)]);
@@ -134,8 +141,8 @@
 /// Neither a silent network path nor the passing of time shows that a server crashed.
 #[test]
 fn an_unexplained_loss_is_not_a_crash() {
-    let mut losses = Losses::default();
-    losses.lost(&server("a"), loss(1, NOW), STREAM_WAIT);
+    let mut losses = LostAttempts::default();
+    losses.add(&server("a"), loss(1, NOW), STREAM_PROBE_DELAY);
     let mut probes = 0;
     let mut now = NOW;
     while now < NOW.after(INVESTIGATION_TIMEOUT) {
@@ -145,7 +152,7 @@
     }
     assert!(probes <= 10, "{probes}");
     assert_eq!(losses.expire(now), [(ServerId::new("a", 0), loss(1, NOW))]);
-    assert_eq!(losses.ended(&ServerId::new("a", 0)), []);
+    assert_eq!(losses.on_crash(&ServerId::new("a", 0)), []);
 }
 
 #[test]
