--- a/crates/router/tests/outcome.rs
+++ b/crates/router/tests/outcome.rs
@@ -1,7 +1,7 @@
 //! Whether a request may have run, by the outcomes of its attempts.
 
 use ebonyloft_core::verdict::Verdict;
-use ebonyloft_router::outcome::{Fate, Progress, REJECTIONS_MAX, Reply};
+use ebonyloft_router::outcome::{AttemptOutcome, Progress, REJECTIONS_MAX, Reply};
 
 fn reply(status: u16) -> Reply {
     Reply { status, attempt: Some("a".into()), stamped: true, ..Reply::default() }
@@ -10,37 +10,43 @@
 #[test]
 fn only_the_server_can_state_that_a_request_did_not_run() {
     let unmarked = reply(503);
-    assert_eq!(Fate::of(&unmarked, Some("a")).verdict(), Verdict::MayHaveRun);
+    assert_eq!(AttemptOutcome::from_reply(&unmarked, Some("a")).verdict(), Verdict::MayHaveRun);
     let stated = Reply { not_run: true, ..reply(503) };
-    assert_eq!(Fate::of(&stated, Some("a")), Fate::Rejected);
+    assert_eq!(AttemptOutcome::from_reply(&stated, Some("a")), AttemptOutcome::Rejected);
     let moved = Reply { moved: true, not_run: true, ..reply(421) };
-    assert_eq!(Fate::of(&moved, Some("a")), Fate::Moved);
+    assert_eq!(AttemptOutcome::from_reply(&moved, Some("a")), AttemptOutcome::Moved);
 }
 
 #[test]
 fn an_answer_to_another_attempt_is_never_passed_on() {
     let late = Reply { attempt: Some("b".into()), ..reply(200) };
-    assert_eq!(Fate::of(&late, Some("a")), Fate::Lost);
+    assert_eq!(AttemptOutcome::from_reply(&late, Some("a")), AttemptOutcome::Lost);
     // Its statement that the request did not run is ignored too.
     let stated = Reply { attempt: Some("b".into()), not_run: true, ..reply(503) };
-    assert_eq!(Fate::of(&stated, Some("a")), Fate::Lost);
+    assert_eq!(AttemptOutcome::from_reply(&stated, Some("a")), AttemptOutcome::Lost);
 }
 
 #[test]
 fn a_success_needs_a_signature_and_an_unencoded_body() {
-    assert_eq!(Fate::of(&Reply { stamped: false, ..reply(200) }, Some("a")), Fate::Lost);
-    assert_eq!(Fate::of(&Reply { encoded: true, ..reply(200) }, Some("a")), Fate::Lost);
-    assert_eq!(Fate::of(&reply(200), Some("a")), Fate::Answered(200));
+    assert_eq!(
+        AttemptOutcome::from_reply(&Reply { stamped: false, ..reply(200) }, Some("a")),
+        AttemptOutcome::Lost
+    );
+    assert_eq!(
+        AttemptOutcome::from_reply(&Reply { encoded: true, ..reply(200) }, Some("a")),
+        AttemptOutcome::Lost
+    );
+    assert_eq!(AttemptOutcome::from_reply(&reply(200), Some("a")), AttemptOutcome::Answered(200));
 }
 
 #[test]
 fn a_non_repeatable_request_is_sent_again_only_if_it_did_not_run() {
     let mut once = Progress::new(false, 3);
-    once.note(Fate::Rejected);
-    once.note(Fate::Unsent);
+    once.record(AttemptOutcome::Rejected);
+    once.record(AttemptOutcome::Unsent);
     assert!(once.may_send());
     assert_eq!(once.verdict(), Verdict::NotRun);
-    once.note(Fate::Lost);
+    once.record(AttemptOutcome::Lost);
     assert!(!once.may_send());
     assert_eq!(once.verdict(), Verdict::MayHaveRun);
 }
@@ -48,9 +54,9 @@
 #[test]
 fn a_repeatable_request_stops_at_the_configured_limit() {
     let mut repeatable = Progress::new(true, 2);
-    repeatable.note(Fate::Answered(500));
+    repeatable.record(AttemptOutcome::Answered(500));
     assert!(repeatable.may_send());
-    repeatable.note(Fate::Lost);
+    repeatable.record(AttemptOutcome::Lost);
     assert!(!repeatable.may_send());
 }
 
@@ -59,7 +65,7 @@
     let mut once = Progress::new(false, 1);
     for _ in 0..REJECTIONS_MAX {
         assert!(once.may_send());
-        once.note(Fate::Rejected);
+        once.record(AttemptOutcome::Rejected);
     }
     assert!(!once.may_send());
     assert_eq!(once.verdict(), Verdict::NotRun);
@@ -71,6 +77,6 @@
     let mut once = Progress::new(false, 1);
     once.begin();
     assert_eq!(once.verdict(), Verdict::MayHaveRun);
-    once.note(Fate::Rejected);
+    once.record(AttemptOutcome::Rejected);
     assert_eq!(once.verdict(), Verdict::NotRun);
 }
--- a/crates/router/tests/plain.rs
+++ b/crates/router/tests/plain.rs
@@ -7,8 +7,8 @@
 
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Server, ServerId};
-use ebonyloft_router::outcome::{Fate, Load};
-use ebonyloft_router::plain::Plain;
+use ebonyloft_router::outcome::{AttemptOutcome, Load};
+use ebonyloft_router::plain_servers::PlainServers;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -36,15 +36,15 @@
 fn simulate(models: &[ServerModel], seed: u64, by_stats: bool) -> f64 {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let servers = servers(models.len());
-    let mut plain = Plain::default();
-    let mut in_flight: Vec<(Timestamp, usize, Timestamp, Fate)> = Vec::new();
+    let mut plain = PlainServers::default();
+    let mut in_flight: Vec<(Timestamp, usize, Timestamp, AttemptOutcome)> = Vec::new();
     let mut timely = 0;
     for n in 0..400_u64 {
         let now = Timestamp::from_millis(1_000 + n * 50);
         in_flight.sort_by_key(|o| o.0);
         while in_flight.first().is_some_and(|o| o.0 <= now) {
             let (end, i, sent, fate) = in_flight.remove(0);
-            plain.ended(end, &servers[i].id, sent, fate, None);
+            plain.on_ended(end, &servers[i].id, sent, fate, None);
         }
         let server = match by_stats {
             true => plain
@@ -55,12 +55,12 @@
         let i = servers.iter().position(|s| s.id == server.id).expect("the server is in the list");
         let b = models[i];
         let (ms, fate) = match rng.random::<f64>() {
-            x if x < b.hang_share => (1_000, Fate::Lost),
-            x if x < b.hang_share + b.failure_share => (b.ms, Fate::Answered(500)),
-            _ => (b.ms, Fate::Answered(200)),
+            x if x < b.hang_share => (1_000, AttemptOutcome::Lost),
+            x if x < b.hang_share + b.failure_share => (b.ms, AttemptOutcome::Answered(500)),
+            _ => (b.ms, AttemptOutcome::Answered(200)),
         };
-        timely += u32::from(fate == Fate::Answered(200) && ms <= 150);
-        plain.sent(now, &server.id);
+        timely += u32::from(fate == AttemptOutcome::Answered(200) && ms <= 150);
+        plain.on_sent(now, &server.id);
         in_flight.push((now.after(Duration::from_millis(ms)), i, now, fate));
     }
     f64::from(timely) / 400.0
@@ -99,12 +99,18 @@
 #[test]
 fn a_recovered_server_is_tried_again() {
     let servers = servers(2);
-    let mut plain = Plain::default();
+    let mut plain = PlainServers::default();
     let start = Timestamp::from_millis(1_000);
     for n in 0..20 {
         let sent = start.after(Duration::from_millis(n * 10));
-        plain.sent(sent, &servers[0].id);
-        plain.ended(sent.after(Duration::from_millis(5)), &servers[0].id, sent, Fate::Lost, None);
+        plain.on_sent(sent, &servers[0].id);
+        plain.on_ended(
+            sent.after(Duration::from_millis(5)),
+            &servers[0].id,
+            sent,
+            AttemptOutcome::Lost,
+            None,
+        );
     }
     let soon = start.after(Duration::from_millis(300));
     let later = start.after(Duration::from_secs(12));
@@ -115,12 +121,12 @@
 #[test]
 fn a_full_server_costs_more_than_one_in_another_zone() {
     let servers = servers(2);
-    let mut plain = Plain::default();
+    let mut plain = PlainServers::default();
     let sent = Timestamp::from_millis(970);
     let now = Timestamp::from_millis(1_000);
     let load = Some(Load { running: 6, waiting: 12, slots: 6 });
-    plain.sent(sent, &servers[0].id);
-    plain.ended(now, &servers[0].id, sent, Fate::Answered(200), load);
+    plain.on_sent(sent, &servers[0].id);
+    plain.on_ended(now, &servers[0].id, sent, AttemptOutcome::Answered(200), load);
     let pick = plain.pick(now, "z0", servers.iter(), &[], || 0.5).expect("at least one server");
     assert_eq!(pick.id, servers[1].id);
 }
@@ -128,7 +134,7 @@
 #[test]
 fn a_tried_server_is_not_picked_again() {
     let servers = servers(2);
-    let plain = Plain::default();
+    let plain = PlainServers::default();
     let now = Timestamp::from_millis(1_000);
     let tried = vec![servers[0].id.clone()];
     let pick = plain.pick(now, "z0", servers.iter(), &tried, || 0.5).expect("at least one server");
--- a/crates/router/tests/quarantine.rs
+++ b/crates/router/tests/quarantine.rs
@@ -4,18 +4,18 @@
 
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::ServerId;
-use ebonyloft_router::content::Content;
 use ebonyloft_router::quarantine::{
-    CONFIRMED_MAX, Change, Fact, HEALTHY_TTL, PROBE_TIMEOUT, PROVED_LIFE, Quarantine, SUSPECT_LIFE,
-    SUSPECTS_MAX, Standing, Word,
+    CONFIRMED_MAX, CONFIRMED_TTL, Change, Fact, HEALTHY_TTL, PROBE_TIMEOUT, Quarantine,
+    QuarantineState, QuarantineUpdate, SUSPECT_TTL, SUSPECTS_MAX,
 };
+use ebonyloft_router::request_digest::RequestDigest;
 use proptest::prelude::*;
 
 const NOW: Timestamp = Timestamp::from_millis(1_000_000_000);
-const BAD: Content = Content(7, 7);
+const BAD: RequestDigest = RequestDigest(7, 7);
 
-fn update(content: Content, fact: Fact) -> Word {
-    Word { content, age: 0, fact }
+fn update(content: RequestDigest, fact: Fact) -> QuarantineUpdate {
+    QuarantineUpdate { content, age: 0, fact }
 }
 
 fn crash(server: &str, early: bool) -> Fact {
@@ -23,20 +23,20 @@
 }
 
 fn apply(quarantine: &mut Quarantine, facts: &[Fact]) -> Vec<Change> {
-    facts.iter().map(|f| quarantine.take(NOW, &update(BAD, f.clone()))).collect()
+    facts.iter().map(|f| quarantine.apply(NOW, &update(BAD, f.clone()))).collect()
 }
 
 #[test]
 fn three_early_crashes_confirm_a_request() {
     let mut all = Quarantine::default();
-    assert_eq!(all.standing(NOW, &BAD), Standing::Free);
+    assert_eq!(all.standing(NOW, &BAD), QuarantineState::Free);
     let changes = apply(&mut all, &[crash("a", true), crash("b", true)]);
     assert_eq!(changes, [Change::Suspected, Change::Suspected]);
-    assert!(all.is_close(&BAD));
-    assert_eq!(all.standing(NOW, &BAD), Standing::Suspect);
-    assert_eq!(apply(&mut all, &[crash("c", true)]), [Change::Proved]);
-    assert_eq!(all.standing(NOW, &BAD), Standing::Proved(NOW.after(PROVED_LIFE)));
-    assert_eq!(all.standing(NOW, &Content(7, 8)), Standing::Free);
+    assert!(all.is_nearly_confirmed(&BAD));
+    assert_eq!(all.standing(NOW, &BAD), QuarantineState::Suspect);
+    assert_eq!(apply(&mut all, &[crash("c", true)]), [Change::Confirmed]);
+    assert_eq!(all.standing(NOW, &BAD), QuarantineState::Confirmed(NOW.after(CONFIRMED_TTL)));
+    assert_eq!(all.standing(NOW, &RequestDigest(7, 8)), QuarantineState::Free);
 }
 
 /// Each gateway that had the request at the crashed server observes the same crash, and all of them report
@@ -45,8 +45,8 @@
 fn a_crash_counts_once_whichever_gateways_report_it() {
     let mut all = Quarantine::default();
     apply(&mut all, &[crash("a", true), crash("a", true), crash("a", true), crash("b", true)]);
-    assert_eq!(all.standing(NOW, &BAD), Standing::Suspect);
-    assert_eq!(all.endings(&BAD).len(), 2);
+    assert_eq!(all.standing(NOW, &BAD), QuarantineState::Suspect);
+    assert_eq!(all.crashes(&BAD).len(), 2);
 }
 
 /// A request that had run for a while when its server crashed is hardly the cause.
@@ -55,21 +55,21 @@
     let mut all = Quarantine::default();
     apply(&mut all, &["a", "b", "c", "d"].map(|s| crash(s, false)));
     // It is not probed either.
-    assert_eq!(all.standing(NOW, &BAD), Standing::Free);
-    assert_eq!(apply(&mut all, &[crash("e", false)]), [Change::Proved]);
+    assert_eq!(all.standing(NOW, &BAD), QuarantineState::Free);
+    assert_eq!(apply(&mut all, &[crash("e", false)]), [Change::Confirmed]);
 }
 
 #[test]
 fn a_suspect_is_probed_by_one_gateway_at_a_time() {
     let mut all = Quarantine::default();
     apply(&mut all, &[crash("a", true), Fact::Trying(1)]);
-    assert_eq!(all.standing(NOW, &BAD), Standing::Held(NOW.after(PROBE_TIMEOUT)));
+    assert_eq!(all.standing(NOW, &BAD), QuarantineState::Held(NOW.after(PROBE_TIMEOUT)));
     apply(&mut all, &[Fact::Over(1)]);
-    assert_eq!(all.standing(NOW, &BAD), Standing::Suspect);
+    assert_eq!(all.standing(NOW, &BAD), QuarantineState::Suspect);
     apply(&mut all, &[Fact::Trying(2)]);
     assert_eq!(
         all.standing(NOW.after(PROBE_TIMEOUT), &BAD),
-        Standing::Suspect,
+        QuarantineState::Suspect,
         "the result of the probe was lost"
     );
 }
@@ -78,9 +78,9 @@
 fn a_lost_attempt_holds_others_back_until_it_is_explained() {
     let mut all = Quarantine::default();
     apply(&mut all, &[Fact::Lost(1)]);
-    assert!(matches!(all.standing(NOW, &BAD), Standing::Held(_)));
+    assert!(matches!(all.standing(NOW, &BAD), QuarantineState::Held(_)));
     apply(&mut all, &[Fact::Over(1)]);
-    assert_eq!(all.standing(NOW, &BAD), Standing::Free, "a lost attempt alone is no crash");
+    assert_eq!(all.standing(NOW, &BAD), QuarantineState::Free, "a lost attempt alone is no crash");
 }
 
 /// The end of one investigation must not admit a request that another one still investigates.
@@ -88,11 +88,11 @@
 fn the_end_of_one_investigation_ends_no_other() {
     let mut all = Quarantine::default();
     apply(&mut all, &[Fact::Lost(1), Fact::Lost(2), crash("a", true), Fact::Over(1)]);
-    assert!(matches!(all.standing(NOW, &BAD), Standing::Held(_)));
+    assert!(matches!(all.standing(NOW, &BAD), QuarantineState::Held(_)));
     apply(&mut all, &[Fact::Over(2)]);
-    assert_eq!(all.standing(NOW, &BAD), Standing::Suspect);
+    assert_eq!(all.standing(NOW, &BAD), QuarantineState::Suspect);
     apply(&mut all, &[Fact::Trying(3), Fact::Over(2)]);
-    assert!(matches!(all.standing(NOW, &BAD), Standing::Held(_)));
+    assert!(matches!(all.standing(NOW, &BAD), QuarantineState::Held(_)));
 }
 
 #[test]
@@ -100,57 +100,61 @@
     let mut all = Quarantine::default();
     apply(&mut all, &[crash("a", true), crash("b", true)]);
     let later = NOW.after(Duration::from_secs(1));
-    assert_eq!(all.take(later, &update(BAD, Fact::Served)), Change::Cleared);
-    let late = Word { content: BAD, age: 2_000, fact: crash("c", true) };
-    assert_eq!(all.take(later, &late), Change::Nothing);
-    assert_eq!(all.standing(later, &BAD), Standing::Free);
+    assert_eq!(all.apply(later, &update(BAD, Fact::Served)), Change::Cleared);
+    let late = QuarantineUpdate { content: BAD, age: 2_000, fact: crash("c", true) };
+    assert_eq!(all.apply(later, &late), Change::Nothing);
+    assert_eq!(all.standing(later, &BAD), QuarantineState::Free);
     // Later crashes count again.
     let after = later.after(Duration::from_secs(1));
-    assert_eq!(all.take(after, &update(BAD, crash("d", true))), Change::Suspected);
+    assert_eq!(all.apply(after, &update(BAD, crash("d", true))), Change::Suspected);
 }
 
 /// A request that many callers send is in flight at any server that crashes.
 #[test]
 fn a_recently_answered_request_is_healthy() {
     let mut all = Quarantine::default();
-    assert!(!all.served_here(NOW, BAD), "no other gateway needs the update");
-    assert!(all.is_sound(NOW.after(HEALTHY_TTL / 2), &BAD));
-    assert!(!all.is_sound(NOW.after(HEALTHY_TTL), &BAD));
+    assert!(!all.on_served(NOW, BAD), "no other gateway needs the update");
+    assert!(all.is_healthy(NOW.after(HEALTHY_TTL / 2), &BAD));
+    assert!(!all.is_healthy(NOW.after(HEALTHY_TTL), &BAD));
     // The answer came after the loss.
-    assert!(all.is_sound(NOW.before(HEALTHY_TTL * 2), &BAD));
+    assert!(all.is_healthy(NOW.before(HEALTHY_TTL * 2), &BAD));
     apply(&mut all, &[crash("a", true)]);
-    assert!(all.served_here(NOW, BAD));
+    assert!(all.on_served(NOW, BAD));
     for n in 0..100_000 {
-        all.served_here(NOW, Content(n, 2));
+        all.on_served(NOW, RequestDigest(n, 2));
     }
-    assert!(all.is_sound(NOW, &Content(99_999, 2)));
+    assert!(all.is_healthy(NOW, &RequestDigest(99_999, 2)));
 }
 
 #[test]
 fn a_confirmation_holds_until_its_deadline_or_release() {
     let mut all = Quarantine::default();
     apply(&mut all, &[Fact::Proved, Fact::Served]);
-    assert!(matches!(all.standing(NOW, &BAD), Standing::Proved(_)));
-    let end = NOW.after(PROVED_LIFE);
+    assert!(matches!(all.standing(NOW, &BAD), QuarantineState::Confirmed(_)));
+    let end = NOW.after(CONFIRMED_TTL);
     assert_eq!(all.clone().expire(end), [BAD]);
-    assert_eq!(all.standing(end, &BAD), Standing::Free);
+    assert_eq!(all.standing(end, &BAD), QuarantineState::Free);
     let later = NOW.after(Duration::from_secs(1));
-    assert_eq!(all.take(later, &update(BAD, Fact::Released)), Change::Cleared);
+    assert_eq!(all.apply(later, &update(BAD, Fact::Released)), Change::Cleared);
     // The store may still hold the old confirmation.
-    let old = Word { content: BAD, age: 1_000, fact: Fact::Proved };
-    assert_eq!(all.take(later, &old), Change::Nothing);
-    assert_eq!(all.standing(later, &BAD), Standing::Free);
+    let old = QuarantineUpdate { content: BAD, age: 1_000, fact: Fact::Proved };
+    assert_eq!(all.apply(later, &old), Change::Nothing);
+    assert_eq!(all.standing(later, &BAD), QuarantineState::Free);
 }
 
 #[test]
 fn old_crashes_expire() {
     let mut all = Quarantine::default();
     apply(&mut all, &[crash("a", true)]);
-    all.expire(NOW.after(SUSPECT_LIFE));
+    all.expire(NOW.after(SUSPECT_TTL));
     assert!(!all.is_known(&BAD));
-    assert_eq!(all.sum(), 0);
-    let old = Word { content: BAD, age: SUSPECT_LIFE.as_millis() as u64, fact: crash("a", true) };
-    assert_eq!(all.take(NOW, &old), Change::Nothing);
+    assert_eq!(all.checksum(), 0);
+    let old = QuarantineUpdate {
+        content: BAD,
+        age: SUSPECT_TTL.as_millis() as u64,
+        fact: crash("a", true),
+    };
+    assert_eq!(all.apply(NOW, &old), Change::Nothing);
 }
 
 /// 100,000 different requests: memory is bounded, and confirmed requests are kept.
@@ -158,17 +162,22 @@
 fn a_flood_evicts_no_confirmed_request() {
     let mut all = Quarantine::default();
     for n in 0..100 {
-        all.take(NOW, &update(Content(n, 1), Fact::Proved));
+        all.apply(NOW, &update(RequestDigest(n, 1), Fact::Proved));
     }
     for n in 0..100_000 {
-        all.take(NOW, &update(Content(n, 2), crash(&format!("i-{n:010x}"), true)));
+        all.apply(NOW, &update(RequestDigest(n, 2), crash(&format!("i-{n:010x}"), true)));
     }
-    assert!((0..100).all(|n| matches!(all.standing(NOW, &Content(n, 1)), Standing::Proved(_))));
+    assert!(
+        (0..100).all(|n| matches!(
+            all.standing(NOW, &RequestDigest(n, 1)),
+            QuarantineState::Confirmed(_)
+        ))
+    );
     let (suspects, confirmed) = all.counts();
     assert!(suspects <= SUSPECTS_MAX, "{suspects}");
     assert_eq!(confirmed, 100);
     for n in 0..20_000 {
-        all.take(NOW, &update(Content(n, 3), Fact::Proved));
+        all.apply(NOW, &update(RequestDigest(n, 3), Fact::Proved));
     }
     assert!(all.counts().1 <= CONFIRMED_MAX, "{}", all.counts().1);
 }
@@ -196,24 +205,24 @@
         let apply_all = |facts: &[(u64, u64, Fact)]| {
             let mut all = Quarantine::default();
             for (content, age, fact) in facts {
-                let update = Word { content: Content(*content, 0), age: *age, fact: fact.clone() };
-                all.take(NOW, &update);
+                let update = QuarantineUpdate { content: RequestDigest(*content, 0), age: *age, fact: fact.clone() };
+                all.apply(NOW, &update);
             }
             all
         };
         let (mut a, mut b) = (apply_all(&one), apply_all(&other));
         for _ in 0..2 {
-            for update in a.table(later) {
-                b.take(later, &update);
+            for update in a.updates(later) {
+                b.apply(later, &update);
             }
-            for update in b.table(later) {
-                a.take(later, &update);
+            for update in b.updates(later) {
+                a.apply(later, &update);
             }
         }
-        prop_assert_eq!(a.sum(), b.sum());
+        prop_assert_eq!(a.checksum(), b.checksum());
         for content in 0..3 {
-            let content = Content(content, 0);
-            let confirmed = |q: &Quarantine| matches!(q.standing(later, &content), Standing::Proved(_));
+            let content = RequestDigest(content, 0);
+            let confirmed = |q: &Quarantine| matches!(q.standing(later, &content), QuarantineState::Confirmed(_));
             prop_assert_eq!(confirmed(&a), confirmed(&b));
         }
     }
