--- a/crates/check/src/accounts/gate.rs
+++ b/crates/check/src/accounts/gate.rs
@@ -5,7 +5,7 @@
 
 use ebonyloft_core::config::Rate;
 use ebonyloft_core::time::Timestamp;
-use ebonyloft_router::delegate::SILENT;
+use ebonyloft_router::delegate::LEADER_TIMEOUT;
 use ebonyloft_router::fleet::Fleet;
 use ebonyloft_router::node::Excess;
 use ebonyloft_router::quota::issuer::{LeaseIssuer, standby_share};
@@ -14,7 +14,7 @@
     Owners, ReachabilityReports, UnreachableGateways, gateway_number,
 };
 use ebonyloft_router::quota::{LeaseDecision, LeaseRequest, LimitKey};
-use ebonyloft_router::recency::Recency;
+use ebonyloft_router::recency::ConfigStaleness;
 use ebonyloft_router::zones::{Scope, scope};
 
 use super::{Mutant, OVER, WINDOW};
@@ -34,7 +34,7 @@
     /// Version of the configuration that it knows; zero for none.
     pub version: u64,
     /// As of when that is the newest.
-    pub recency: Recency,
+    pub recency: ConfigStaleness,
     /// What it borrowed.
     pub borrower: TokenLeases,
     lender: LeaseIssuer,
@@ -53,7 +53,7 @@
         Gate {
             name: name.to_owned(),
             version: 0,
-            recency: Recency::default(),
+            recency: ConfigStaleness::default(),
             borrower: TokenLeases::default(),
             lender: LeaseIssuer::new(since),
             homes: Owners::default(),
@@ -81,7 +81,7 @@
 
     fn lately(&self, now: Timestamp, name: &str) -> Option<&UnreachableGateways> {
         let (at, missing) = self.heard.get(name)?;
-        (now.since(*at) < SILENT).then_some(missing)
+        (now.since(*at) < LEADER_TIMEOUT).then_some(missing)
     }
 
     /// Upkeep.
--- a/crates/check/src/accounts/world.rs
+++ b/crates/check/src/accounts/world.rs
@@ -8,7 +8,7 @@
 use ebonyloft_router::fleet::{Fleet, Gateway};
 use ebonyloft_router::quota::ownership::UnreachableGateways;
 use ebonyloft_router::quota::{LeaseDecision, LeaseRequest, LimitKey};
-use ebonyloft_router::recency::Held;
+use ebonyloft_router::recency::VersionAge;
 use ebonyloft_router::zones::{Scope, scope};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -92,7 +92,7 @@
     Polled { gate: usize, life: u32, sent: Timestamp },
     Look(usize, u32),
     AgeAsked { from: usize, to: usize, number: u64 },
-    AgeTold { to: usize, number: u64, held: Held },
+    AgeTold { to: usize, number: u64, held: VersionAge },
     Pulled { gate: usize, version: u64 },
     Round,
     Upkeep,
@@ -293,7 +293,7 @@
     fn may_run(&self, request: &Request) -> bool {
         let gate = &self.hosts[request.gate].gate;
         let taken = request.account == TAKEN && gate.version >= 2;
-        gate.version > 0 && !taken && gate.recency.holds(self.clock(request.gate), Some(REVOKE))
+        gate.version > 0 && !taken && gate.recency.is_fresh(self.clock(request.gate), Some(REVOKE))
     }
 
     fn charge(&mut self, request: Request, first: bool) {
@@ -534,7 +534,7 @@
         }
         let now = self.clock(to);
         let gate = &self.hosts[to].gate;
-        let mut held = Held { version: gate.version, age: gate.recency.age(now) };
+        let mut held = VersionAge { version: gate.version, age: gate.recency.age(now) };
         if self.spec.mutant == Some(Mutant::AgeRestarts) {
             held.age = Duration::ZERO;
         }
@@ -545,7 +545,7 @@
         }
     }
 
-    fn hear_age(&mut self, to: usize, number: u64, held: Held) {
+    fn hear_age(&mut self, to: usize, number: u64, held: VersionAge) {
         if let Some(until) = self.hosts[to].resumes {
             let wait = until.since(self.now());
             return self.queue.after(wait, Event::AgeTold { to, number, held });
--- a/crates/check/src/answers/gate.rs
+++ b/crates/check/src/answers/gate.rs
@@ -6,12 +6,12 @@
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::back_offs::BackOffs;
 use ebonyloft_router::catalog::{Server, ServerId};
-use ebonyloft_router::drift::Drift;
+use ebonyloft_router::drift::DivergenceDetector;
 use ebonyloft_router::lost_attempts::{LostAttempt, LostAttempts, STREAM_PROBE_DELAY};
 use ebonyloft_router::outcome::BackOff;
 use ebonyloft_router::quarantine::{Fact, Quarantine, QuarantineState, QuarantineUpdate};
 use ebonyloft_router::request_digest::RequestDigest;
-use ebonyloft_router::roster::Roster;
+use ebonyloft_router::roster::ServerRegistry;
 
 /// A rule left out.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
@@ -56,9 +56,9 @@
     /// Losses that are looked into.
     pub losses: LostAttempts,
     /// Peers that know something else.
-    pub drift: Drift,
+    pub drift: DivergenceDetector,
     /// Lives, and which said that they leave.
-    pub roster: Roster,
+    pub roster: ServerRegistry,
     /// Servers that want nothing.
     pub pauses: BackOffs,
     /// Addresses that a mutant takes as left.
@@ -82,8 +82,8 @@
         Gate {
             quarantine: Quarantine::default(),
             losses: LostAttempts::default(),
-            drift: Drift::default(),
-            roster: Roster::default(),
+            drift: DivergenceDetector::default(),
+            roster: ServerRegistry::default(),
             pauses: BackOffs::default(),
             left: HashSet::new(),
             life,
@@ -177,7 +177,7 @@
         if self.mutant == Some(Mutant::LeavingByAddress) {
             self.left.insert(server.addr);
         }
-        self.roster.hear_leaving(&server.id)
+        self.roster.on_leaving(&server.id)
     }
 
     /// A server wants nothing for a while.
--- a/crates/check/src/answers/world.rs
+++ b/crates/check/src/answers/world.rs
@@ -8,8 +8,8 @@
 use ebonyloft_router::lost_attempts::{LostAttempt, ProbeResult};
 use ebonyloft_router::quarantine::{Crash, Fact, QuarantineState, QuarantineUpdate};
 use ebonyloft_router::request_digest::RequestDigest;
-use ebonyloft_router::roster::{Change, Entry};
-use ebonyloft_router::share::{News, Notes};
+use ebonyloft_router::roster::{Change, Registration};
+use ebonyloft_router::share::{GossipMessage, GossipState};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -93,7 +93,7 @@
     Up(usize),
     Gone(ServerId),
     Lost(u64),
-    Hear(usize, u32, Notes),
+    Hear(usize, u32, GossipState),
     Poll(usize, u32),
     Found(usize, u32, ServerId, Timestamp),
     Round,
@@ -578,7 +578,7 @@
     fn register(&mut self, n: usize) {
         let server = self.hosts[n].server.clone();
         for gate in self.gates.iter_mut() {
-            let entry = Entry::Server(server.clone());
+            let entry = Registration::Server(server.clone());
             let change = Change { name: server.id.name.clone(), entry, revision: self.next + 1 };
             gate.roster.apply(change, true);
         }
@@ -611,7 +611,7 @@
         for host in 0..self.hosts.len() {
             let server = self.hosts[host].server.clone();
             let name = server.id.name.clone();
-            let change = Change { name, entry: Entry::Server(server), revision: 1 };
+            let change = Change { name, entry: Registration::Server(server), revision: 1 };
             self.gates[n].roster.apply(change, true);
         }
         if !self.deaf_at_start() {
@@ -650,7 +650,7 @@
             }
         }
         if !words.is_empty() && self.gates[from].hears(now) {
-            self.tell(from, Notes { words, ..Notes::default() });
+            self.tell(from, GossipState { words, ..GossipState::default() });
         }
     }
 
@@ -661,14 +661,14 @@
     }
 
     fn tell_leaving(&mut self, from: usize, id: &ServerId) {
-        self.tell(from, Notes { leaving: vec![id.clone()], ..Notes::default() });
+        self.tell(from, GossipState { leaving: vec![id.clone()], ..GossipState::default() });
     }
 
-    fn tell(&mut self, from: usize, notes: Notes) {
+    fn tell(&mut self, from: usize, notes: GossipState) {
         let second = self.queue.now().as_millis() / 1_000;
         let mut bytes = Vec::new();
         // Plain data encodes.
-        let _ = ciborium::into_writer(&News::Notes(notes.clone()), &mut bytes);
+        let _ = ciborium::into_writer(&GossipMessage::Notes(notes.clone()), &mut bytes);
         let sent = bytes.len() * 2 * (self.gates.len() - 1);
         *self.bytes.entry((from, second)).or_default() += sent;
         for to in (0..self.gates.len()).filter(|to| *to != from) {
@@ -682,7 +682,7 @@
         }
     }
 
-    fn hear(&mut self, to: usize, life: u32, notes: &Notes) {
+    fn hear(&mut self, to: usize, life: u32, notes: &GossipState) {
         let now = self.queue.now();
         let gate = &mut self.gates[to];
         if gate.life != life || !gate.hears(now) {
@@ -692,7 +692,7 @@
             gate.quarantine.apply(now, word);
         }
         for id in &notes.leaving {
-            gate.roster.hear_leaving(id);
+            gate.roster.on_leaving(id);
         }
         let (suspects, proved) = gate.quarantine.counts();
         self.tally.rows = self.tally.rows.max(suspects + proved);
@@ -714,7 +714,7 @@
                     continue;
                 }
                 let same = sums[from] == sums[to];
-                if self.gates[to].drift.hear(now, &format!("g{from}"), same) {
+                if self.gates[to].drift.observe(now, &format!("g{from}"), same) {
                     self.compare(from, to);
                 }
             }
--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -176,8 +176,8 @@
         // view by when it applies their message; compared with an earlier timestamp, a missing
         // registration would never count as gone.
         let now = shared.now();
-        if shared.fresh.borrow().settled(now) {
-            for server in shared.roster.borrow_mut().settle() {
+        if shared.fresh.borrow().is_trusted(now) {
+            for server in shared.roster.borrow_mut().remove_missing() {
                 tracing::info!(server, "backend server is gone: it was not registered again");
             }
         }
--- a/crates/daemon/src/gateway/belief.rs
+++ b/crates/daemon/src/gateway/belief.rs
@@ -9,8 +9,8 @@
 use bytes::Bytes;
 use ebonyloft_router::catalog::Config;
 use ebonyloft_router::fleet::Gateway;
-use ebonyloft_router::pulls::{Part, Versions};
-use ebonyloft_router::recency::Held;
+use ebonyloft_router::pulls::{FetchKind, Versions};
+use ebonyloft_router::recency::VersionAge;
 use ebonyloft_router::roster::Change;
 use hyper::{Request, Response, StatusCode};
 use serde::{Deserialize, Serialize};
@@ -69,27 +69,27 @@
     // it notices only when a watch times out.
     let uses_store = shared.role.borrow().leads() && !shared.fresh.borrow().is_away();
     let behind = shared.fetches.borrow_mut().is_behind(shared.now(), own, theirs);
-    if own.lacks(Part::Lists, theirs) && (!uses_store || behind) {
-        start_fetch(shared, from, Part::Lists, own);
+    if own.is_older(FetchKind::Lists, theirs) && (!uses_store || behind) {
+        start_fetch(shared, from, FetchKind::Lists, own);
     }
-    if own.lacks(Part::Config, theirs) {
-        start_fetch(shared, from, Part::Config, own);
+    if own.is_older(FetchKind::Config, theirs) {
+        start_fetch(shared, from, FetchKind::Config, own);
     }
 }
 
-fn start_fetch(shared: &Rc<Shared>, from: SocketAddr, part: Part, own: Versions) {
+fn start_fetch(shared: &Rc<Shared>, from: SocketAddr, part: FetchKind, own: Versions) {
     if shared.fetches.borrow_mut().begin(shared.now(), part, from) {
         compio::runtime::spawn(fetch_part(shared.clone(), from, part, own)).detach();
     }
 }
 
-async fn fetch_part(shared: Rc<Shared>, from: SocketAddr, part: Part, own: Versions) {
+async fn fetch_part(shared: Rc<Shared>, from: SocketAddr, part: FetchKind, own: Versions) {
     let sent_at = shared.now();
     let update = request_state(&shared, from, own.asking(part)).await;
     shared.fetches.borrow_mut().end(shared.now(), part, update.is_some());
     if let Some(update) = update {
         let theirs =
-            Held { version: update.versions.config, age: Duration::from_millis(update.age) };
+            VersionAge { version: update.versions.config, age: Duration::from_millis(update.age) };
         apply(&shared, from, update);
         shared.recency.borrow_mut().on_held(sent_at, shared.basis().config, theirs);
     }
@@ -134,7 +134,7 @@
         return;
     }
     // A gateway that can't reach the store relies on the peer's `settled` flag alone.
-    let settled = update.settled && (store_away || shared.fresh.borrow().settled(shared.now()));
+    let settled = update.settled && (store_away || shared.fresh.borrow().is_trusted(shared.now()));
     let effects = match update.roster {
         None => return,
         Some(Servers::All(list)) => shared.roster.borrow_mut().replace(list, revision, settled),
@@ -202,7 +202,7 @@
         config: shared.config().filter(|c| c.version > theirs.config).map(|c| (*c).clone()),
         roster: (complete && versions.roster > theirs.roster).then(servers),
         fleet: (versions.fleet > theirs.fleet).then(|| fleet.registered()),
-        settled: shared.fresh.borrow().settled(shared.now()),
+        settled: shared.fresh.borrow().is_trusted(shared.now()),
         age: keys::held(shared).age.as_millis() as u64 + 1,
     }
 }
--- a/crates/daemon/src/gateway/keys.rs
+++ b/crates/daemon/src/gateway/keys.rs
@@ -12,9 +12,9 @@
 use ebonyloft_platform::headers::Caller;
 use ebonyloft_router::accounts::{self, Account, Credential, Identity};
 use ebonyloft_router::catalog::{Config, Route};
-use ebonyloft_router::delegate::Link;
-use ebonyloft_router::recency::{DEAF, Held};
-use ebonyloft_router::share::News;
+use ebonyloft_router::delegate::StoreLink;
+use ebonyloft_router::recency::{VersionAge, WATCH_LAG_MAX};
+use ebonyloft_router::share::GossipMessage;
 
 use super::answer::Cause;
 use super::intake::Intake;
@@ -41,7 +41,7 @@
         Identity::Account(_) => Err(Cause::Unconfirmed),
         Identity::Unidentified => Err(Cause::Unauthorized),
         Identity::Unknown => {
-            let age = shared.recency.borrow().age(shared.now()).saturating_sub(DEAF);
+            let age = shared.recency.borrow().age(shared.now()).saturating_sub(WATCH_LAG_MAX);
             let is_certain = age + UNKNOWN_KEY_MARGIN < shared.node().bounds.apply;
             Err(if is_certain { Cause::Unauthorized } else { Cause::Unconfirmed })
         }
@@ -89,7 +89,7 @@
 
 /// Is the configuration fresh enough for requests with keys?
 pub fn is_fresh(shared: &Shared) -> bool {
-    shared.recency.borrow().holds(shared.now(), shared.node().bounds.revoke)
+    shared.recency.borrow().is_fresh(shared.now(), shared.node().bounds.revoke)
 }
 
 /// Time within which a revoked key must stop running work; `None` without such a bound or without
@@ -110,7 +110,7 @@
         let (now, number) = (shared.now(), shared.draw_number());
         if shared.recency.borrow_mut().ask(now, bound, number) {
             for addr in peers_to_ask(&shared) {
-                shared.post(addr, News::Age(number));
+                shared.post(addr, GossipMessage::Age(number));
             }
         }
         let age = shared.recency.borrow().age(shared.now()).as_millis() as u64;
@@ -134,7 +134,8 @@
     let (now, node) = (shared.now(), shared.node());
     let (fleet, shares) = (shared.fleet.borrow(), shared.shares.borrow());
     let others: Vec<_> = fleet.all().iter().filter(|(name, _)| **name != node.name).collect();
-    let follows_store = |name: &str| matches!(shares.link(now, name), Some(Link::Heard { .. }));
+    let follows_store =
+        |name: &str| matches!(shares.link(now, name), Some(StoreLink::Heard { .. }));
     let followers: Vec<_> = others.iter().filter(|(name, _)| follows_store(name)).collect();
     let same_zone: Vec<_> = followers.iter().filter(|(_, g)| g.zone == node.zone).collect();
     let random_index = |len: usize| (shared.draw() * len as f64) as usize;
@@ -154,19 +155,19 @@
 
 /// Answers a peer that asks how old the configuration is here.
 pub fn tell_age(shared: &Shared, to: SocketAddr, number: u64) {
-    let Held { version, age } = held(shared);
-    shared.post(to, News::Held(number, version, age.as_millis() as u64 + 1));
+    let VersionAge { version, age } = held(shared);
+    shared.post(to, GossipMessage::Held(number, version, age.as_millis() as u64 + 1));
 }
 
 /// Handles a peer's answer about the age of its configuration.
 pub fn hear_age(shared: &Shared, number: u64, version: u64, age: u64) {
-    let peer_config = Held { version, age: Duration::from_millis(age) };
+    let peer_config = VersionAge { version, age: Duration::from_millis(age) };
     let own_version = shared.basis().config;
     shared.recency.borrow_mut().on_answer(number, own_version, peer_config);
 }
 
 /// Version and age of this gateway's configuration.
-pub fn held(shared: &Shared) -> Held {
+pub fn held(shared: &Shared) -> VersionAge {
     let version = shared.basis().config;
-    Held { version, age: shared.recency.borrow().age(shared.now()) }
+    VersionAge { version, age: shared.recency.borrow().age(shared.now()) }
 }
--- a/crates/daemon/src/gateway/notes.rs
+++ b/crates/daemon/src/gateway/notes.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use compio::net::UdpSocket;
-use ebonyloft_router::share::{News, Notes};
+use ebonyloft_router::share::{GossipMessage, GossipState};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
 
@@ -40,7 +40,7 @@
         }
         for part in split(state) {
             let mut bytes = Vec::new();
-            if let Err(e) = ciborium::into_writer(&News::Notes(part), &mut bytes) {
+            if let Err(e) = ciborium::into_writer(&GossipMessage::Notes(part), &mut bytes) {
                 tracing::error!(error = %e, "can't encode gossip state");
                 continue;
             }
@@ -61,13 +61,15 @@
 }
 
 /// Splits gossip state into parts that fit one datagram each.
-fn split(state: Notes) -> Vec<Notes> {
+fn split(state: GossipState) -> Vec<GossipState> {
     let words = state.words.chunks(RECORDS_MAX);
-    let words = words.map(|words| Notes { words: words.to_vec(), ..Notes::default() });
+    let words = words.map(|words| GossipState { words: words.to_vec(), ..GossipState::default() });
     let leaving = state.leaving.chunks(RECORDS_MAX);
-    let leaving = leaving.map(|leaving| Notes { leaving: leaving.to_vec(), ..Notes::default() });
+    let leaving =
+        leaving.map(|leaving| GossipState { leaving: leaving.to_vec(), ..GossipState::default() });
     let limits = state.limits.chunks(RECORDS_MAX);
-    let limits = limits.map(|limits| Notes { limits: limits.to_vec(), ..Notes::default() });
+    let limits =
+        limits.map(|limits| GossipState { limits: limits.to_vec(), ..GossipState::default() });
     words.chain(leaving).chain(limits).collect()
 }
 
@@ -77,7 +79,7 @@
 }
 
 /// Applies gossip state received from a peer.
-pub fn apply(shared: &Shared, state: &Notes, peer: &str) {
+pub fn apply(shared: &Shared, state: &GossipState, peer: &str) {
     state.words.iter().for_each(|word| quarantine::take(shared, word, Some(peer)));
     state.leaving.iter().for_each(|id| said::leaving(shared, id, peer));
     state.limits.iter().for_each(|word| limits::hear(shared, word, peer));
@@ -86,7 +88,7 @@
 /// Checksum of the gossip state; zero if the state is empty.
 pub fn checksum(shared: &Shared) -> u64 {
     let roster = shared.roster.borrow();
-    let leaving = roster.said().fold(0, |sum, id| sum ^ id.number());
+    let leaving = roster.announced_leaving().fold(0, |sum, id| sum ^ id.number());
     shared.quarantine.borrow().checksum() ^ leaving ^ shared.limits.borrow().checksum()
 }
 
@@ -94,15 +96,19 @@
 /// for long.
 pub fn compare_checksum(shared: &Rc<Shared>, peer: &str, from: SocketAddr, peer_checksum: u64) {
     let (now, same) = (shared.now(), peer_checksum == checksum(shared));
-    if shared.drift.borrow_mut().hear(now, peer, same) {
+    if shared.drift.borrow_mut().observe(now, peer, same) {
         compio::runtime::spawn(exchange(shared.clone(), from)).detach();
     }
 }
 
-fn full_state(shared: &Shared) -> Notes {
+fn full_state(shared: &Shared) -> GossipState {
     let words = shared.quarantine.borrow().updates(shared.now());
     let limits = shared.limits.borrow().updates();
-    Notes { words, leaving: shared.roster.borrow().said().cloned().collect(), limits }
+    GossipState {
+        words,
+        leaving: shared.roster.borrow().announced_leaving().cloned().collect(),
+        limits,
+    }
 }
 
 fn encode(shared: &Shared) -> Option<Vec<u8>> {
@@ -114,7 +120,7 @@
 }
 
 fn apply_encoded(shared: &Shared, bytes: &[u8], peer: &str) {
-    match ciborium::from_reader::<Notes, _>(bytes) {
+    match ciborium::from_reader::<GossipState, _>(bytes) {
         Ok(state) => apply(shared, &state, peer),
         Err(e) => tracing::warn!(peer, error = %e, "can't decode gossip state of peer"),
     }
--- a/crates/daemon/src/gateway/orders.rs
+++ b/crates/daemon/src/gateway/orders.rs
@@ -10,9 +10,9 @@
 use ebonyloft_platform::engine::{self, Ordered};
 use ebonyloft_platform::store::{StoreError, Write};
 use ebonyloft_router::catalog::{Server, ServerId, Stage};
-use ebonyloft_router::holder::{self, Held, Order, Record};
-use ebonyloft_router::roster::Roster;
-use ebonyloft_router::stages::{Planner, Shape, View};
+use ebonyloft_router::holder::{self, LeaderRecord, Leadership, Order};
+use ebonyloft_router::roster::ServerRegistry;
+use ebonyloft_router::stages::{PlanContext, Planner, Shape};
 use ebonyloft_router::zones::Scope;
 
 use super::limits;
@@ -66,7 +66,7 @@
         && shared.roster.borrow().is_complete()
 }
 
-async fn acquire(shared: &Shared) -> Result<Option<Held>, StoreError> {
+async fn acquire(shared: &Shared) -> Result<Option<Leadership>, StoreError> {
     if shared.store.get(LOCK_KEY).await?.is_some() {
         shared.lock_available.set(false);
         return Ok(None);
@@ -75,15 +75,15 @@
     let revision = before.as_ref().map_or(0, |i| i.revision);
     let first = before.is_none();
     let record = match before.and_then(|i| i.value) {
-        Some(value) => serde_json::from_slice::<Record>(&value).map_err(|e| {
+        Some(value) => serde_json::from_slice::<LeaderRecord>(&value).map_err(|e| {
             StoreError::Unknown { detail: format!("can't decode the leader record: {e}") }
         })?,
-        None => Record::default(),
+        None => LeaderRecord::default(),
     };
     let sent = shared.now();
     let lease = shared.store.lease(holder::LEASE).await?;
     let name = shared.node().name.clone();
-    let next = Record { fence: record.fence + 1, holder: name };
+    let next = LeaderRecord { fence: record.fence + 1, holder: name };
     let value = serde_json::to_vec(&next).expect("plain strings and numbers serialise");
     let writes = [
         Write { key: LOCK_KEY, value: &value, lease: lease.id },
@@ -93,7 +93,7 @@
         Ok(_) => {
             let gap = shared.node().bounds.order_gap;
             let now = shared.now();
-            Ok(Some(Held::taken(sent, now, next.fence, lease.id, gap, first)))
+            Ok(Some(Leadership::taken(sent, now, next.fence, lease.id, gap, first)))
         }
         Err(StoreError::Conflict) => Ok(None),
         Err(e) => Err(e),
@@ -101,12 +101,12 @@
 }
 
 /// Renews leadership and sends orders until leadership is lost.
-async fn lead(shared: &Shared, planner: &mut Planner, leadership: Held) {
+async fn lead(shared: &Shared, planner: &mut Planner, leadership: Leadership) {
     renew_and_order(shared, planner, leadership).await;
     shared.changing_engines.borrow_mut().clear();
 }
 
-async fn renew_and_order(shared: &Shared, planner: &mut Planner, mut leadership: Held) {
+async fn renew_and_order(shared: &Shared, planner: &mut Planner, mut leadership: Leadership) {
     let mut renew_at = shared.now().after(holder::RENEW);
     loop {
         compio::time::sleep(CHECK_INTERVAL).await;
@@ -141,7 +141,7 @@
     }
 }
 
-async fn release(shared: &Shared, leadership: Held) {
+async fn release(shared: &Shared, leadership: Leadership) {
     if let Err(e) = shared.store.end(leadership.lease).await {
         tracing::info!(
             fence = leadership.fence, error = %e,
@@ -153,7 +153,7 @@
 fn next_order(
     shared: &Shared,
     planner: &mut Planner,
-    leadership: &Held,
+    leadership: &Leadership,
 ) -> Option<(Order, Server)> {
     let config = shared.config()?;
     let roster = shared.roster.borrow();
@@ -168,7 +168,7 @@
             let learned = shared.service_estimates(&service.name);
             (learned.shape, learned.reading.rate())
         };
-        let view = View {
+        let view = PlanContext {
             service: &service.name,
             groups: &engine_groups(shared, &roster, &service.name),
             engine: spec,
@@ -191,7 +191,7 @@
 /// each zone.
 fn engine_groups<'a>(
     shared: &Shared,
-    roster: &'a Roster,
+    roster: &'a ServerRegistry,
     service: &'a str,
 ) -> Vec<Vec<&'a Server>> {
     let scope = shared.scope();
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -12,10 +12,10 @@
 use bytes::Bytes;
 use compio::net::{TcpListener, UdpSocket};
 use ebonyloft_core::time::Timestamp;
-use ebonyloft_router::delegate::Link;
+use ebonyloft_router::delegate::StoreLink;
 use ebonyloft_router::pulls::Versions;
-use ebonyloft_router::share::{self, News, Share};
-use ebonyloft_router::zones::{DIGEST_PAUSE, Digest, Room, Scope};
+use ebonyloft_router::share::{self, GossipMessage, LoadReport};
+use ebonyloft_router::zones::{DIGEST_PAUSE, Scope, ServiceCapacity, ZoneSummary};
 use futures_util::StreamExt;
 use futures_util::future::select;
 use hyper::body::Incoming;
@@ -66,7 +66,7 @@
             continue;
         }
         let mut bytes = Vec::new();
-        if let Err(e) = ciborium::into_writer(&News::Share(report), &mut bytes) {
+        if let Err(e) = ciborium::into_writer(&GossipMessage::Share(report), &mut bytes) {
             tracing::error!(error = %e, "can't encode load report");
             continue;
         }
@@ -128,7 +128,7 @@
         seq += 1;
         let summary = own_summary(&shared, incarnation, seq);
         let mut bytes = Vec::new();
-        if let Err(e) = ciborium::into_writer(&News::Digest(summary), &mut bytes) {
+        if let Err(e) = ciborium::into_writer(&GossipMessage::Digest(summary), &mut bytes) {
             tracing::error!(error = %e, "can't encode zone summary");
             continue;
         }
@@ -142,15 +142,15 @@
 fn leaders_of_other_zones(shared: &Shared) -> Vec<SocketAddr> {
     let (node, fleet, summaries) = (shared.node(), shared.fleet.borrow(), shared.digests.borrow());
     let senders = summaries.passed_on(shared.now()).map(|d| d.addr);
-    let ranked = fleet.delegates().filter(|g| g.zone != node.zone).map(|g| g.addr);
+    let ranked = fleet.zone_leaders().filter(|g| g.zone != node.zone).map(|g| g.addr);
     let all: BTreeSet<SocketAddr> = senders.chain(ranked).collect();
     all.into_iter().collect()
 }
 
-fn own_summary(shared: &Shared, incarnation: u64, seq: u64) -> Digest {
+fn own_summary(shared: &Shared, incarnation: u64, seq: u64) -> ZoneSummary {
     let node = shared.node();
     let Versions { config, roster, fleet } = belief::versions(shared);
-    Digest {
+    ZoneSummary {
         name: node.name.clone(),
         zone: node.zone.clone(),
         addr: (node.ip, node.peer_port).into(),
@@ -164,7 +164,7 @@
     }
 }
 
-fn capacities(shared: &Shared) -> Vec<Room> {
+fn capacities(shared: &Shared) -> Vec<ServiceCapacity> {
     let Some(config) = shared.config() else {
         return Vec::new();
     };
@@ -172,10 +172,10 @@
     engines.map(|(name, spec)| stream::zone_capacity(shared, name, spec)).collect()
 }
 
-fn own_report(shared: &Shared, incarnation: u64, seq: u64) -> Share {
+fn own_report(shared: &Shared, incarnation: u64, seq: u64) -> LoadReport {
     let engines = shared.engines.borrow();
     let Versions { config, roster, fleet } = belief::versions(shared);
-    Share {
+    LoadReport {
         name: shared.node().name.clone(),
         life: incarnation,
         seq,
@@ -194,11 +194,11 @@
 
 /// This gateway's access to the store, as its peers see it. A gateway that has not read the whole
 /// server registry yet is of no use to them.
-fn store_link(shared: &Shared) -> Link {
+fn store_link(shared: &Shared) -> StoreLink {
     let is_useful = shared.role.borrow().follows() && shared.roster.borrow().is_complete();
     match is_useful {
         true => shared.fresh.borrow().link(shared.now(), shared.node().bounds.staleness_bound()),
-        false => Link::Indirect,
+        false => StoreLink::Indirect,
     }
 }
 
@@ -213,31 +213,35 @@
             Ok(received) => received,
             Err(e) => {
                 tracing::debug!(error = %e, "can't receive datagram");
-                compio::time::sleep(share::TELL).await;
+                compio::time::sleep(share::REPORT_INTERVAL).await;
                 continue;
             }
         };
-        match ciborium::from_reader::<News, _>(&buffer[..len]) {
-            Ok(News::Share(report)) => on_load_report(&shared, from, report),
-            Ok(News::Digest(summary)) => {
-                let Digest { config, roster, fleet, .. } = summary;
+        match ciborium::from_reader::<GossipMessage, _>(&buffer[..len]) {
+            Ok(GossipMessage::Share(report)) => on_load_report(&shared, from, report),
+            Ok(GossipMessage::Digest(summary)) => {
+                let ZoneSummary { config, roster, fleet, .. } = summary;
                 notes::compare_checksum(&shared, &summary.name, from, summary.notes);
                 shared.digests.borrow_mut().hear(shared.now(), summary);
                 belief::fetch_newer(&shared, from, Versions { config, roster, fleet });
             }
-            Ok(News::Ask(ask)) => quota::serve(&shared, from, &ask),
-            Ok(News::Answer(answer)) => quota::hear(&shared, answer),
-            Ok(News::Unused(key, tokens)) => quota::take_back(&shared, &key, tokens),
-            Ok(News::Age(number)) => keys::tell_age(&shared, from, number),
-            Ok(News::Held(number, version, age)) => keys::hear_age(&shared, number, version, age),
-            Ok(News::Notes(received)) => notes::apply(&shared, &received, &from.to_string()),
+            Ok(GossipMessage::Ask(ask)) => quota::serve(&shared, from, &ask),
+            Ok(GossipMessage::Answer(answer)) => quota::hear(&shared, answer),
+            Ok(GossipMessage::Unused(key, tokens)) => quota::take_back(&shared, &key, tokens),
+            Ok(GossipMessage::Age(number)) => keys::tell_age(&shared, from, number),
+            Ok(GossipMessage::Held(number, version, age)) => {
+                keys::hear_age(&shared, number, version, age)
+            }
+            Ok(GossipMessage::Notes(received)) => {
+                notes::apply(&shared, &received, &from.to_string())
+            }
             Err(e) => tracing::warn!(%from, len, error = %e, "can't decode datagram"),
         }
     }
 }
 
-fn on_load_report(shared: &Rc<Shared>, from: SocketAddr, report: Share) {
-    let Share { config, roster, fleet, .. } = report;
+fn on_load_report(shared: &Rc<Shared>, from: SocketAddr, report: LoadReport) {
+    let LoadReport { config, roster, fleet, .. } = report;
     notes::compare_checksum(shared, &report.name, from, report.notes);
     shared.back_off(&report.changing);
     let mut report = report;
--- a/crates/daemon/src/gateway/quota.rs
+++ b/crates/daemon/src/gateway/quota.rs
@@ -20,7 +20,7 @@
     ReachabilityReports, UnreachableGateways, gateway_number,
 };
 use ebonyloft_router::quota::{LeaseDecision, LeaseRequest, LeaseResponse, LimitKey};
-use ebonyloft_router::share::{News, Shares};
+use ebonyloft_router::share::{GossipMessage, LoadReports};
 use ebonyloft_router::zones::Scope;
 use futures_channel::oneshot;
 use hyper::Response;
@@ -182,7 +182,7 @@
     let addr = shared.fleet.borrow().all().get(&owner_name)?.addr;
     let (sender, reply) = oneshot::channel();
     shared.asked.borrow_mut().insert(ask.number, sender);
-    shared.post(addr, News::Ask(ask.clone()));
+    shared.post(addr, GossipMessage::Ask(ask.clone()));
     let reply = compio::time::timeout(OWNER_TIMEOUT, reply).await;
     shared.asked.borrow_mut().remove(&ask.number);
     reply.ok()?.ok()
@@ -198,7 +198,7 @@
 /// Answers a peer's request for tokens.
 pub fn serve(shared: &Shared, from: SocketAddr, ask: &LeaseRequest) {
     let reply = grant(shared, ask);
-    shared.post(from, News::Answer(LeaseResponse { number: ask.number, reply }));
+    shared.post(from, GossipMessage::Answer(LeaseResponse { number: ask.number, reply }));
 }
 
 /// Hands an owner's answer to the request that waits for it.
@@ -219,7 +219,7 @@
         return take_back(shared, key, tokens);
     }
     if let Some(gateway) = shared.fleet.borrow().all().get(&owner_name) {
-        shared.post(gateway.addr, News::Unused(key.clone(), tokens));
+        shared.post(gateway.addr, GossipMessage::Unused(key.clone(), tokens));
     }
 }
 
@@ -324,7 +324,7 @@
 pub fn missing(shared: &Shared) -> UnreachableGateways {
     let (node, fleet) = (shared.node(), shared.fleet.borrow());
     match shared.scope() {
-        Scope::All => shared.shares.borrow().missing(shared.now(), &fleet, &node.name),
+        Scope::All => shared.shares.borrow().unreachable(shared.now(), &fleet, &node.name),
         Scope::Zone => UnreachableGateways::new(),
     }
 }
@@ -349,7 +349,7 @@
     now: Timestamp,
     name: &'a str,
     own: &'a UnreachableGateways,
-    shares: &'a Shares,
+    shares: &'a LoadReports,
 }
 
 impl ReachabilityReports for ObservedViews<'_> {
--- a/crates/daemon/src/gateway/said.rs
+++ b/crates/daemon/src/gateway/said.rs
@@ -78,7 +78,7 @@
 
 /// Handles the announcement, by an answer or by a peer, that an incarnation of a server is leaving.
 pub fn leaving(shared: &Shared, id: &ServerId, from: &str) {
-    if !shared.roster.borrow_mut().hear_leaving(id) {
+    if !shared.roster.borrow_mut().on_leaving(id) {
         return;
     }
     let Basis { roster, age, .. } = shared.basis();
--- a/crates/daemon/src/gateway/shared.rs
+++ b/crates/daemon/src/gateway/shared.rs
@@ -15,28 +15,28 @@
 use ebonyloft_router::budget::Budget;
 use ebonyloft_router::caller_deadlines::CallerDeadlines;
 use ebonyloft_router::catalog::{Config, ServerId};
-use ebonyloft_router::delegate::{Link, Role};
-use ebonyloft_router::drift::Drift;
-use ebonyloft_router::engines::Engines;
+use ebonyloft_router::delegate::{LeaderState, StoreLink};
+use ebonyloft_router::drift::DivergenceDetector;
+use ebonyloft_router::engines::EngineAdmission;
 use ebonyloft_router::fleet::Fleet;
-use ebonyloft_router::freshness::Freshness;
-use ebonyloft_router::learned::{Learned, Service};
+use ebonyloft_router::freshness::StoreState;
+use ebonyloft_router::learned::{ServiceStats, TrafficStats};
 use ebonyloft_router::limits::ServerLimits;
 use ebonyloft_router::lost_attempts::LostAttempts;
 use ebonyloft_router::node::Node;
 use ebonyloft_router::plain_servers::PlainServers;
-use ebonyloft_router::prefill::Paces;
-use ebonyloft_router::pulls::Pulls;
+use ebonyloft_router::prefill::SpeedFactors;
+use ebonyloft_router::pulls::Fetches;
 use ebonyloft_router::quarantine::Quarantine;
 use ebonyloft_router::quota::LeaseDecision;
 use ebonyloft_router::quota::issuer::LeaseIssuer;
 use ebonyloft_router::quota::leases::TokenLeases;
 use ebonyloft_router::quota::ownership::Owners;
-use ebonyloft_router::recency::Recency;
+use ebonyloft_router::recency::ConfigStaleness;
 use ebonyloft_router::request_digest::RequestDigest;
-use ebonyloft_router::roster::Roster;
-use ebonyloft_router::share::{News, Notes, Shares, Work};
-use ebonyloft_router::zones::{self, Digests, Memory, Scope};
+use ebonyloft_router::roster::ServerRegistry;
+use ebonyloft_router::share::{EngineLoad, GossipMessage, GossipState, LoadReports};
+use ebonyloft_router::zones::{self, Memory, Scope, ZoneSummaries};
 use futures_channel::{mpsc, oneshot};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -79,9 +79,9 @@
     /// The newest configuration received.
     pub config: RefCell<Option<Rc<Config>>>,
     /// The server registry: all known backend servers.
-    pub roster: RefCell<Roster>,
+    pub roster: RefCell<ServerRegistry>,
     /// When the configuration was last known to be the newest.
-    pub recency: RefCell<Recency>,
+    pub recency: RefCell<ConfigStaleness>,
     /// True if the store's newest configuration could not be decoded.
     pub config_unreadable: Cell<bool>,
     /// Ranks the gateways that may own a quota or server limit.
@@ -95,7 +95,7 @@
     /// Token requests to owners that wait for an answer, by request number.
     pub asked: RefCell<HashMap<u64, oneshot::Sender<LeaseDecision>>>,
     /// When the server registry was last known to be current, and whether the store is reachable.
-    pub fresh: RefCell<Freshness>,
+    pub fresh: RefCell<StoreState>,
     /// Deadlines that callers set, by route.
     pub patience: RefCell<CallerDeadlines>,
     /// Admission queues of plain services, by service.
@@ -105,20 +105,20 @@
     /// Statistics of plain backend servers.
     pub plain: RefCell<PlainServers>,
     /// Work of this gateway at model engines, and the requests that wait for one.
-    pub engines: RefCell<Engines>,
+    pub engines: RefCell<EngineAdmission>,
     /// Speed factors of prefill engines.
-    pub paces: RefCell<Paces>,
+    pub paces: RefCell<SpeedFactors>,
     /// Estimates learned for services and routes.
-    pub learned: RefCell<Learned>,
+    pub learned: RefCell<TrafficStats>,
     /// Load reports of peers.
-    pub shares: RefCell<Shares>,
+    pub shares: RefCell<LoadReports>,
     /// The scope, with the edition of the gateway list and the engine memory that it was
     /// computed from.
     scope: Cell<((u64, u64), Scope)>,
     /// Memory of all engines, in tokens.
     pub engine_memory: RefCell<Memory>,
     /// Summaries of other availability zones.
-    pub digests: RefCell<Digests>,
+    pub digests: RefCell<ZoneSummaries>,
     /// Reservations here that serve requests of other zones.
     pub incoming: RefCell<IncomingReservations>,
     /// Retry budgets, by service.
@@ -126,9 +126,9 @@
     /// Registered gateways.
     pub fleet: RefCell<Fleet>,
     /// Whether this gateway follows the store as a zone leader, and whether as the first one.
-    pub role: RefCell<Role>,
+    pub role: RefCell<LeaderState>,
     /// Fetches of state from peers that are under way.
-    pub fetches: RefCell<Pulls>,
+    pub fetches: RefCell<Fetches>,
     /// Configuration transfers to peers that are under way.
     pub uploads: Uploads,
     /// Back-offs that backend servers asked for.
@@ -142,11 +142,11 @@
     /// Wakes the tasks that investigate lost attempts and broadcast gossip state.
     pub inquiries: Waiters,
     /// Gossip state to broadcast to all gateways.
-    pub notes: RefCell<Notes>,
+    pub notes: RefCell<GossipState>,
     /// Requests confirmed here to crash servers that are not written to the store yet.
     pub proofs: RefCell<Vec<RequestDigest>>,
     /// Peers whose gossip state differs from this gateway's, and since when.
-    pub drift: RefCell<Drift>,
+    pub drift: RefCell<DivergenceDetector>,
     /// True while no gateway is known to be the leader that orders engines.
     pub lock_available: Cell<bool>,
     /// Engines that this gateway ordered to change their stage and that have not done so yet.
@@ -167,7 +167,7 @@
 }
 
 /// A message for one peer.
-pub type Message = (SocketAddr, News);
+pub type Message = (SocketAddr, GossipMessage);
 
 impl Shared {
     /// Initial state of a process: no configuration, no servers, no peers.
@@ -211,7 +211,7 @@
             incoming: RefCell::default(),
             budgets: RefCell::default(),
             fleet: RefCell::default(),
-            role: RefCell::new(Role::new(clock.now())),
+            role: RefCell::new(LeaderState::new(clock.now())),
             fetches: RefCell::default(),
             uploads: Uploads::default(),
             pauses: RefCell::default(),
@@ -275,7 +275,7 @@
     }
 
     /// Queues a message to one peer.
-    pub fn post(&self, to: SocketAddr, message: News) {
+    pub fn post(&self, to: SocketAddr, message: GossipMessage) {
         // The receiver lives as long as the process, so this can't fail.
         let _ = self.outbox.unbounded_send((to, message));
     }
@@ -331,7 +331,7 @@
     /// gateway is not known to be registered.
     pub fn rank(&self) -> Option<usize> {
         let (node, fleet) = (self.node(), self.fleet.borrow());
-        fleet.ahead(&node.name).map(Iterator::count)
+        fleet.higher_ranked(&node.name).map(Iterator::count)
     }
 
     /// Records how much memory all engines have.
@@ -352,8 +352,10 @@
     pub fn judge_role(&self) {
         let (now, node) = (self.now(), self.node());
         let (fleet, shares) = (self.fleet.borrow(), self.shares.borrow());
-        let reaches_store = |name: &str| matches!(shares.link(now, name), Some(Link::Heard { .. }));
-        let ahead: Vec<&str> = fleet.ahead(&node.name).map_or_else(Vec::new, Iterator::collect);
+        let reaches_store =
+            |name: &str| matches!(shares.link(now, name), Some(StoreLink::Heard { .. }));
+        let ahead: Vec<&str> =
+            fleet.higher_ranked(&node.name).map_or_else(Vec::new, Iterator::collect);
         let (ahead_count, reaching) =
             (ahead.len(), ahead.iter().filter(|n| reaches_store(n)).count());
         // A gateway without a complete server registry reads it from the store, which is faster
@@ -361,7 +363,7 @@
         let reaching = if self.roster.borrow().is_complete() { reaching } else { 0 };
         let mut role = self.role.borrow_mut();
         let before = role.follows();
-        role.judge(now, ahead_count, reaching);
+        role.update(now, ahead_count, reaching);
         if role.follows() != before {
             tracing::info!(
                 follows = role.follows(),
@@ -391,13 +393,13 @@
     }
 
     /// Load of all gateways, this one included, at an engine.
-    pub fn engine_load(&self, id: &ServerId) -> Work {
+    pub fn engine_load(&self, id: &ServerId) -> EngineLoad {
         let peers = self.shares.borrow().work(self.now(), id);
-        self.engines.borrow().own(id).plus(peers)
+        self.engines.borrow().own_load(id).plus(peers)
     }
 
     /// Estimates learned for a service.
-    pub fn service_estimates(&self, name: &str) -> RefMut<'_, Service> {
+    pub fn service_estimates(&self, name: &str) -> RefMut<'_, ServiceStats> {
         RefMut::map(self.learned.borrow_mut(), |all| all.service(name))
     }
 
@@ -406,7 +408,7 @@
         let until = self.now().after(STAGE_CHANGE_BACKOFF);
         let mut engines = self.engines.borrow_mut();
         for id in changing {
-            engines.rest(id, until);
+            engines.back_off(id, until);
         }
     }
 
--- a/crates/daemon/src/gateway/stream.rs
+++ b/crates/daemon/src/gateway/stream.rs
@@ -24,7 +24,7 @@
 use ebonyloft_router::engines;
 use ebonyloft_router::events::Splitter;
 use ebonyloft_router::outcome::{AttemptOutcome, Progress};
-use ebonyloft_router::zones::Room;
+use ebonyloft_router::zones::ServiceCapacity;
 use futures_channel::oneshot;
 use http_body_util::BodyExt;
 use hyper::Response;
@@ -203,7 +203,7 @@
             }
             AttemptOutcome::Unsent | AttemptOutcome::Lost => {
                 cause = Cause::Lost;
-                shared.engines.borrow_mut().fault(now, &server.id);
+                shared.engines.borrow_mut().on_fault(now, &server.id);
             }
         }
         splitter.discard_incomplete();
@@ -218,7 +218,7 @@
 }
 
 /// Free capacity of this zone's engines of a service, published to other zones.
-pub fn zone_capacity(shared: &Shared, service: &str, spec: &Engine) -> Room {
+pub fn zone_capacity(shared: &Shared, service: &str, spec: &Engine) -> ServiceCapacity {
     let now = shared.now();
     let prompt = shared.service_estimates(service).shape.prompt();
     let read_at = match prefill::fastest_engine(shared, service, prompt, now) {
@@ -228,7 +228,7 @@
     let free = admission::free_fraction(shared, service, spec).max(0.0) * 1_000.0;
     let places = admission::free_slots(shared, service, spec);
     let read = read_at.since(now).as_millis() as u32;
-    Room { service: service.to_owned(), free: free as u32, places, read }
+    ServiceCapacity { service: service.to_owned(), free: free as u32, places, read }
 }
 
 /// Tokens in one event of the service's engines.
@@ -246,7 +246,7 @@
 
 /// When a caller should retry; none if the request may have run.
 fn retry_at(shared: &Shared, intake: &Intake, state: &StreamState) -> Option<Timestamp> {
-    let at = engines::come_back(shared.now(), intake.ends_at, shared.draw());
+    let at = engines::retry_after(shared.now(), intake.ends_at, shared.draw());
     (state.progress.verdict() == Verdict::NotRun).then_some(at)
 }
 
@@ -322,7 +322,7 @@
         return (fate, read_failure(shared, head, fate).await);
     }
     state.mark_used();
-    shared.engines.borrow_mut().took(&server.id);
+    shared.engines.borrow_mut().on_accepted(&server.id);
     let fate = relay::relay(shared, intake, head, state, out, splitter).await;
     (fate, None)
 }
--- a/crates/daemon/src/gateway/stream/admission.rs
+++ b/crates/daemon/src/gateway/stream/admission.rs
@@ -5,11 +5,11 @@
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_platform::engine;
 use ebonyloft_router::catalog::{Engine, Server, ServerId, Stage};
-use ebonyloft_router::engines::{Advice, Lack, Need, View};
-use ebonyloft_router::forecast::Profile;
-use ebonyloft_router::growth::Growth;
-use ebonyloft_router::roster::Roster;
-use ebonyloft_router::share::Work;
+use ebonyloft_router::engines::{AdmissionContext, AdmissionDecision, Demand, Shortage};
+use ebonyloft_router::forecast::MemoryForecast;
+use ebonyloft_router::growth::LengthForecast;
+use ebonyloft_router::roster::ServerRegistry;
+use ebonyloft_router::share::EngineLoad;
 use futures_util::future::select;
 
 use super::state::{Reservation, StreamState};
@@ -53,7 +53,7 @@
         }
         let advice = advise(shared, intake, spec, state, tried, now);
         let lacks_now = || lacks_capacity(shared, intake, spec, state, &need, now);
-        if !matches!(advice, Advice::Ask(_))
+        if !matches!(advice, AdmissionDecision::Ask(_))
             && overflow::is_allowed(shared, state)
             && lacks_now()
             && let Some(zone) = overflow::choose_zone(shared, intake, state, &need)
@@ -68,7 +68,7 @@
             continue;
         }
         match advice {
-            Advice::Ask(id) => {
+            AdmissionDecision::Ask(id) => {
                 if let Some(server) =
                     reserve_at(shared, spec, state, &id, need.memory, growth).await
                 {
@@ -77,11 +77,11 @@
                     return Ok(server);
                 }
             }
-            Advice::Wait(until) => {
+            AdmissionDecision::Wait(until) => {
                 let timer = std::pin::pin!(compio::time::sleep(until.since(now)));
                 select(shared.capacity_freed(), timer).await;
             }
-            Advice::Refuse(retry_at, lack) => {
+            AdmissionDecision::Refuse(retry_at, lack) => {
                 leave_queue(shared, state);
                 log_refused(shared, intake, spec, &need, state, joined_at, lack);
                 return Err(StreamError::Refused(Cause::Overload, Some(retry_at)));
@@ -100,7 +100,7 @@
 }
 
 /// Expected growth of the answer, as learned for its route.
-fn expected_growth(shared: &Shared, intake: &Intake) -> Growth {
+fn expected_growth(shared: &Shared, intake: &Intake) -> LengthForecast {
     let mut learned = shared.learned.borrow_mut();
     learned.lengths(&intake.route().name).expect(intake.caller.output, intake.caller.hint)
 }
@@ -109,10 +109,10 @@
     shared: &Shared,
     intake: &Intake,
     state: &StreamState,
-    growth: Growth,
+    growth: LengthForecast,
     now: Timestamp,
     resumed: bool,
-) -> Need {
+) -> Demand {
     let first_by = if resumed { now.after(RESUME_WITHIN) } else { intake.goal_at };
     let prompt = intake.caller.prompt;
     let mut learned = shared.service_estimates(&intake.service);
@@ -120,9 +120,9 @@
     if !resumed {
         learned.shape.observe(prompt as f64, growth.length());
     }
-    let memory = growth.profile(prompt, state.generated);
+    let memory = growth.memory_forecast(prompt, state.generated);
     let gives = learned.usual.gives(&growth, prompt);
-    Need { memory, first_by, ends_at: intake.ends_at, gives, begun: resumed }
+    Demand { memory, first_by, ends_at: intake.ends_at, value: gives, begun: resumed }
 }
 
 fn advise(
@@ -132,7 +132,7 @@
     state: &StreamState,
     tried: &[ServerId],
     now: Timestamp,
-) -> Advice {
+) -> AdmissionDecision {
     let read_at = prefill::predicted_ready_at(shared, intake, state, now);
     let entries = shared.gateways_in_scope();
     let roster = shared.roster.borrow();
@@ -141,7 +141,7 @@
     let shares = shared.shares.borrow();
     let ticket = state.ticket.expect("a queued request has a ticket");
     let work = |id: &ServerId| shares.work(now, id);
-    let view = View { engine: spec, read_at, entries };
+    let view = AdmissionContext { engine: spec, read_at, entries };
     shared.engines.borrow().advise(now, ticket, &view, servers, work, || shared.draw())
 }
 
@@ -151,12 +151,12 @@
     intake: &Intake,
     spec: &Engine,
     state: &StreamState,
-    need: &Need,
+    need: &Demand,
     now: Timestamp,
 ) -> bool {
     let read_at = prefill::predicted_ready_at(shared, intake, state, now);
     let (roster, shares) = (shared.roster.borrow(), shared.shares.borrow());
-    let view = View { engine: spec, read_at, entries: shared.gateways_in_scope() };
+    let view = AdmissionContext { engine: spec, read_at, entries: shared.gateways_in_scope() };
     let servers = decode_engines(shared, &roster, &intake.service);
     let work = |id: &ServerId| shares.work(now, id);
     shared.engines.borrow().is_short(now, need, &view, servers, work)
@@ -165,7 +165,7 @@
 /// A service's decode engines that this gateway uses, without those that asked for a back-off.
 pub fn decode_engines<'a>(
     shared: &'a Shared,
-    roster: &'a Roster,
+    roster: &'a ServerRegistry,
     service: &'a str,
 ) -> impl Iterator<Item = &'a Server> {
     let zone = shared.zone();
@@ -185,7 +185,7 @@
     let shares = shared.shares.borrow();
     let servers: Vec<&Server> = decode_engines(shared, &roster, service).collect();
     let engines = shared.engines.borrow();
-    engines.free(now, &servers, spec, |id| shares.work(now, id))
+    engines.free_fraction(now, &servers, spec, |id| shares.work(now, id))
 }
 
 /// Number of typical requests that fit into the engines that this gateway uses.
@@ -195,7 +195,7 @@
     let shares = shared.shares.borrow();
     let servers: Vec<&Server> = decode_engines(shared, &roster, service).collect();
     let engines = shared.engines.borrow();
-    engines.places(now, &servers, spec, usual, |id| shares.work(now, id))
+    engines.free_capacity(now, &servers, spec, usual, |id| shares.work(now, id))
 }
 
 fn leave_queue(shared: &Shared, state: &mut StreamState) {
@@ -211,8 +211,8 @@
     spec: &Engine,
     state: &mut StreamState,
     id: &ServerId,
-    memory: Profile,
-    growth: Growth,
+    memory: MemoryForecast,
+    growth: LengthForecast,
 ) -> Option<Server> {
     let server = shared.roster.borrow().get(id).cloned()?;
     state.reservation =
@@ -232,13 +232,13 @@
     shared: &Shared,
     spec: &Engine,
     server: &Server,
-    memory: Profile,
+    memory: MemoryForecast,
 ) -> Option<String> {
     let id = &server.id;
     if !limits::take(shared, id, REQUESTS_PER_ANSWER).await {
         return None;
     }
-    shared.engines.borrow_mut().placed(id, memory);
+    shared.engines.borrow_mut().on_reserved(id, memory);
     shared.request_report();
     let req = engine::hold(id, memory.reserved(), spec.hold.as_millis() as u64);
     let answer = said::call(shared, server, req, RESERVE_TIMEOUT).await;
@@ -249,24 +249,24 @@
     }
     let work = shared.engine_load(id);
     let mut engines = shared.engines.borrow_mut();
-    engines.freed(now, id, memory, false);
+    engines.on_released(now, id, memory, false);
     match answer {
         Ok((status, _)) => {
-            let Work { memory: all, count, .. } = work;
+            let EngineLoad { memory: all, count, .. } = work;
             let asked = memory.reserved();
             tracing::info!(
                 server = %id, %status, asked, tokens = all.now(), peak = all.peak(), count,
                 "engine refused reservation"
             );
             shared.metrics.count("gateway.hold.full", 1);
-            engines.full(now, id);
+            engines.on_full(now, id);
         }
         Err(e) => {
             tracing::info!(server = %id, error = %e, "can't reach engine");
             // An engine that is leaving or asked for a back-off got no request, so it has no
             // fault.
             if said::takes(shared, id) {
-                engines.fault(now, id);
+                engines.on_fault(now, id);
             }
         }
     }
@@ -277,10 +277,10 @@
     shared: &Shared,
     intake: &Intake,
     spec: &Engine,
-    need: &Need,
+    need: &Demand,
     state: &StreamState,
     joined_at: Timestamp,
-    lack: Lack,
+    lack: Shortage,
 ) {
     let free = free_percent(shared, intake, spec);
     let now = shared.now();
@@ -296,7 +296,7 @@
         waiting,
         read,
         left,
-        gives = need.gives,
+        gives = need.value,
         free,
         ?lack,
         config,
@@ -310,7 +310,7 @@
     shared: &Shared,
     intake: &Intake,
     spec: &Engine,
-    need: &Need,
+    need: &Demand,
     server: &Server,
     joined_at: Timestamp,
 ) {
@@ -322,7 +322,7 @@
         id = intake.id(), server = %server.id, prompt = intake.caller.prompt,
         output = intake.caller.output, hint = intake.caller.hint, tokens = work.memory.now(),
         peak = work.memory.peak(),
-        count = work.count, ms, gives = need.gives, free, config, roster, age, "placed"
+        count = work.count, ms, gives = need.value, free, config, roster, age, "placed"
     );
     shared.metrics.time("gateway.place_ms", ms);
 }
--- a/crates/daemon/src/gateway/stream/incoming.rs
+++ b/crates/daemon/src/gateway/stream/incoming.rs
@@ -7,9 +7,9 @@
 
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Server, ServerId};
-use ebonyloft_router::engines::{Need, View};
-use ebonyloft_router::forecast::Profile;
-use ebonyloft_router::growth::Growth;
+use ebonyloft_router::engines::{AdmissionContext, Demand};
+use ebonyloft_router::forecast::MemoryForecast;
+use ebonyloft_router::growth::LengthForecast;
 use futures_channel::oneshot;
 use futures_util::future::{Either, select};
 use http_body_util::BodyExt;
@@ -88,17 +88,17 @@
     let Some(spec) = spec.filter(|_| !shared.is_stopping()) else {
         return;
     };
-    let memory = request.growth.profile(request.prompt, request.made);
+    let memory = request.growth.memory_forecast(request.prompt, request.made);
     let first_by = now.after(Duration::from_millis(request.first));
     // The request waits at the gateway that asks, not here, so both deadlines are the same.
     let (gives, begun) = (request.gives, request.begun);
-    let need = Need { memory, first_by, ends_at: first_by, gives, begun };
+    let need = Demand { memory, first_by, ends_at: first_by, value: gives, begun };
     let prefill_engine = prefill::fastest_engine(&shared, &request.service, request.prompt, now);
     let read_at = match &prefill_engine {
         Some((_, at)) => *at,
         None => prefill::local_ready_at(&shared, &request.service, request.prompt, now),
     };
-    let view = View { engine: &spec, read_at, entries: shared.gateways_in_scope() };
+    let view = AdmissionContext { engine: &spec, read_at, entries: shared.gateways_in_scope() };
     let Some(server) = choose_engine(&shared, &request.service, &need, &view) else {
         return log_result(&shared, &request, &view, None);
     };
@@ -130,7 +130,7 @@
 fn log_result(
     shared: &Shared,
     request: &ReservationRequest,
-    view: &View<'_>,
+    view: &AdmissionContext<'_>,
     server: Option<&ServerId>,
 ) {
     let free = (admission::free_fraction(shared, &request.service, view.engine) * 100.0) as u64;
@@ -147,20 +147,25 @@
     tracing::info!(id, server, gives, free, waiting, read, config, roster, age, "{message}");
 }
 
-fn choose_engine(shared: &Shared, service: &str, need: &Need, view: &View<'_>) -> Option<Server> {
+fn choose_engine(
+    shared: &Shared,
+    service: &str,
+    need: &Demand,
+    view: &AdmissionContext<'_>,
+) -> Option<Server> {
     let (now, roster, shares) = (shared.now(), shared.roster.borrow(), shared.shares.borrow());
     let servers = admission::decode_engines(shared, &roster, service);
     let work = |id: &ServerId| shares.work(now, id);
     let engines = shared.engines.borrow();
-    let id = engines.lend(now, need, view, servers, work, || shared.draw())?;
+    let id = engines.grant(now, need, view, servers, work, || shared.draw())?;
     roster.get(&id).cloned()
 }
 
 /// A request of another zone at an engine of this one.
 struct IncomingReservation {
     server: ServerId,
-    memory: Profile,
-    growth: Growth,
+    memory: MemoryForecast,
+    growth: LengthForecast,
     /// The prefill engine and the prompt's tokens, until the prompt should have been read.
     prefilling: Option<(ServerId, u64)>,
 }
@@ -189,8 +194,9 @@
             }
             self.end_prefill(shared);
             let generated = now.since(read_at).as_secs_f64() / token.as_secs_f64().max(1e-6);
-            let after = self.growth.profile(request.prompt, request.made + generated as u64);
-            shared.engines.borrow_mut().grown(&self.server, self.memory, after);
+            let after =
+                self.growth.memory_forecast(request.prompt, request.made + generated as u64);
+            shared.engines.borrow_mut().update_forecast(&self.server, self.memory, after);
             self.memory = after;
         }
         tracing::info!(
@@ -207,7 +213,7 @@
 
     fn close(mut self, shared: &Shared) {
         self.end_prefill(shared);
-        shared.engines.borrow_mut().freed(shared.now(), &self.server, self.memory, true);
+        shared.engines.borrow_mut().on_released(shared.now(), &self.server, self.memory, true);
         shared.request_report();
         shared.wake_all();
     }
--- a/crates/daemon/src/gateway/stream/overflow.rs
+++ b/crates/daemon/src/gateway/stream/overflow.rs
@@ -10,8 +10,8 @@
 use bytes::Bytes;
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::Server;
-use ebonyloft_router::engines::{FIRST_EVENT, LATE_READ, Need};
-use ebonyloft_router::growth::Growth;
+use ebonyloft_router::engines::{Demand, FIRST_EVENT, LATE_PREFILL_MAX};
+use ebonyloft_router::growth::LengthForecast;
 use ebonyloft_router::zones::Scope;
 use hyper::{Method, Request, StatusCode};
 use serde::{Deserialize, Serialize};
@@ -40,7 +40,7 @@
     /// Tokens of the answer that the caller already has.
     pub made: u64,
     /// Expected growth of the answer.
-    pub growth: Growth,
+    pub growth: LengthForecast,
     /// Value of the request per memory, relative to a typical request.
     pub gives: f64,
     /// True if the caller already has part of the answer.
@@ -103,12 +103,13 @@
     shared: &Shared,
     intake: &Intake,
     state: &StreamState,
-    need: &Need,
+    need: &Demand,
 ) -> Option<TargetZone> {
     let now = shared.now();
-    let within = need.first_by.since(now).checked_sub(FIRST_EVENT).unwrap_or(LATE_READ);
+    let within = need.first_by.since(now).checked_sub(FIRST_EVENT).unwrap_or(LATE_PREFILL_MAX);
     let digests = shared.digests.borrow();
-    let to = digests.spill(now, &intake.service, within, &state.zones_asked, shared.draw())?;
+    let to =
+        digests.overflow_target(now, &intake.service, within, &state.zones_asked, shared.draw())?;
     Some(TargetZone { zone: to.zone.clone(), addr: to.addr })
 }
 
@@ -117,8 +118,8 @@
     shared: &Shared,
     intake: &Intake,
     state: &mut StreamState,
-    need: &Need,
-    growth: Growth,
+    need: &Demand,
+    growth: LengthForecast,
     to: TargetZone,
 ) -> Option<Server> {
     let now = shared.now();
@@ -131,7 +132,7 @@
         prompt: intake.caller.prompt,
         made: state.generated,
         growth,
-        gives: need.gives,
+        gives: need.value,
         begun: need.begun,
         first: left.as_millis() as u64,
     };
@@ -145,12 +146,12 @@
     );
     shared.metrics.count("gateway.spilled", u64::from(grant.is_some()));
     if grant.is_none() {
-        shared.digests.borrow_mut().full(shared.now(), &zone);
+        shared.digests.borrow_mut().on_refused(shared.now(), &zone);
     }
     let Grant { id, server, hold, reader } = grant?;
     let prefill_engine = reader.map(|(s, ms)| (s, shared.now().after(Duration::from_millis(ms))));
     let memory = need.memory;
-    shared.engines.borrow_mut().placed(&server.id, memory);
+    shared.engines.borrow_mut().on_reserved(&server.id, memory);
     let remote = Some(RemoteReservation { addr, id, prefill_engine });
     state.reservation =
         Some(Reservation { server: server.clone(), hold_id: Some(hold), memory, growth, remote });
--- a/crates/daemon/src/gateway/stream/prefill.rs
+++ b/crates/daemon/src/gateway/stream/prefill.rs
@@ -7,8 +7,8 @@
 use ebonyloft_router::budget::NextSend;
 use ebonyloft_router::catalog::{Server, Stage};
 use ebonyloft_router::outcome::AttemptOutcome;
-use ebonyloft_router::prefill::{self, Choice};
-use ebonyloft_router::share::Work;
+use ebonyloft_router::prefill::{self, ChoiceContext};
+use ebonyloft_router::share::EngineLoad;
 
 use super::state::{PrefillHandle, StreamState};
 use crate::gateway::call;
@@ -62,7 +62,7 @@
 
 /// When a decode engine would have read a prompt.
 pub fn local_ready_at(shared: &Shared, service: &str, prompt: u64, now: Timestamp) -> Timestamp {
-    let duration = shared.service_estimates(service).reading.time(Work::default(), prompt);
+    let duration = shared.service_estimates(service).reading.time(EngineLoad::default(), prompt);
     now.after(duration * LOCAL_SLOWDOWN)
 }
 
@@ -115,9 +115,9 @@
         .filter(|s| own.as_ref().is_none_or(|own| s.zone == *own))
         .filter(|s| !said::rests(shared, &s.id));
     let (shares, paces) = (shared.shares.borrow(), shared.paces.borrow());
-    let work = |id: &_| engines.own(id).plus(shares.work(now, id));
+    let work = |id: &_| engines.own_load(id).plus(shares.work(now, id));
     let learned = shared.service_estimates(service);
-    let choice = Choice { paces: &paces, reading: &learned.reading, prompt, zone, entries };
+    let choice = ChoiceContext { paces: &paces, reading: &learned.reading, prompt, zone, entries };
     let picked = prefill::pick(now, prefill_engines, work, &choice, || shared.draw());
     picked.map(|(s, at)| (s.clone(), at))
 }
@@ -182,7 +182,7 @@
     }
     // A back-off is no fault of the engine.
     if !said::rests(shared, &server.id) {
-        engines.fault(done, &server.id);
+        engines.on_fault(done, &server.id);
     }
     drop(engines);
     if fate == AttemptOutcome::Lost {
--- a/crates/daemon/src/gateway/stream/state.rs
+++ b/crates/daemon/src/gateway/stream/state.rs
@@ -8,8 +8,8 @@
 use ebonyloft_platform::{engine, headers};
 use ebonyloft_router::catalog::{Server, ServerId};
 use ebonyloft_router::engines::Ticket;
-use ebonyloft_router::forecast::Profile;
-use ebonyloft_router::growth::Growth;
+use ebonyloft_router::forecast::MemoryForecast;
+use ebonyloft_router::growth::LengthForecast;
 use ebonyloft_router::outcome::Progress;
 use hyper::{HeaderMap, Request};
 
@@ -28,9 +28,9 @@
     /// Id of the reservation at the engine; none if there is none or it was used.
     pub hold_id: Option<String>,
     /// Memory counted for the request.
-    pub memory: Profile,
+    pub memory: MemoryForecast,
     /// Expected growth of the answer.
-    pub growth: Growth,
+    pub growth: LengthForecast,
     /// Set if a gateway of another zone made the reservation.
     pub remote: Option<RemoteReservation>,
 }
@@ -120,8 +120,12 @@
     pub fn record_generated(&mut self, shared: &Shared, prompt: u64, generated: u64) {
         self.generated = generated;
         if let Some(reservation) = &mut self.reservation {
-            let after = reservation.growth.profile(prompt, generated);
-            shared.engines.borrow_mut().grown(&reservation.server.id, reservation.memory, after);
+            let after = reservation.growth.memory_forecast(prompt, generated);
+            shared.engines.borrow_mut().update_forecast(
+                &reservation.server.id,
+                reservation.memory,
+                after,
+            );
             reservation.memory = after;
         }
     }
@@ -164,7 +168,7 @@
         if let Some(hold_id) = hold_id {
             send_release(shared, &server.id, server.addr, engine::drop_hold(&server.id, &hold_id));
         }
-        shared.engines.borrow_mut().freed(now, &server.id, memory, complete);
+        shared.engines.borrow_mut().on_released(now, &server.id, memory, complete);
         shared.request_report();
     }
 
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -13,8 +13,8 @@
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_platform::store::{Age, CONFIG_KEY, Item, StoreError};
 use ebonyloft_platform::{config, servers};
-use ebonyloft_router::recency::Recency;
-use ebonyloft_router::roster::{Change, Effect, Entry};
+use ebonyloft_router::recency::ConfigStaleness;
+use ebonyloft_router::roster::{Change, Effect, Registration};
 
 use super::shared::Shared;
 use super::store::WatchReply;
@@ -131,7 +131,7 @@
     let mut known_at = shared.now();
     // After a stale list, too, changes are polled: until the first answer nothing is known to be
     // current.
-    let must_poll = shared.fresh.borrow().is_unsure();
+    let must_poll = shared.fresh.borrow().is_unconfirmed();
     let sent = shared.now();
     let (page, waited) = match must_poll {
         true => (shared.store.poll_changes(prefix, after).await?, Duration::ZERO),
@@ -153,7 +153,7 @@
 }
 
 /// Marks the configuration as confirmed by the store, unless the newest one could not be decoded.
-fn confirm_config(shared: &Shared, confirm: impl FnOnce(&mut Recency)) {
+fn confirm_config(shared: &Shared, confirm: impl FnOnce(&mut ConfigStaleness)) {
     if !shared.config_unreadable.get() {
         confirm(&mut shared.recency.borrow_mut());
     }
@@ -250,7 +250,7 @@
 
 impl RosterSink {
     fn settled(&self) -> bool {
-        self.0.fresh.borrow().settled(self.0.now())
+        self.0.fresh.borrow().is_trusted(self.0.now())
     }
 }
 
@@ -279,15 +279,15 @@
     let name = servers::name(&item.key).to_owned();
     let decoded = item.value.as_ref().map(|value| servers::decode(&item.key, value));
     let entry = match decoded {
-        None => Entry::Removed,
-        Some(Ok(server)) => Entry::Server(server),
+        None => Registration::Removed,
+        Some(Ok(server)) => Registration::Server(server),
         Some(Err(e)) => {
             let revision = item.revision;
             tracing::warn!(
                 server = name, revision, error = %e,
                 "can't decode registration of a backend server"
             );
-            Entry::Wrong
+            Registration::Wrong
         }
     };
     Change { name, entry, revision: item.revision }
--- a/crates/router/src/catalog.rs
+++ b/crates/router/src/catalog.rs
@@ -9,7 +9,7 @@
 use serde_with::{DurationMilliSeconds, serde_as};
 
 use crate::accounts::Accounts;
-use crate::drift::{mix, number};
+use crate::drift::{mix, stable_hash};
 
 /// The operator's configuration: routes, services, limits and client accounts.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
@@ -167,7 +167,7 @@
 
     /// Returns a 64-bit hash of the id.
     pub fn number(&self) -> u64 {
-        mix(number(&self.name) ^ self.born)
+        mix(stable_hash(&self.name) ^ self.born)
     }
 
     /// Returns a 32-bit hash of the id, which keeps gossip messages short.
--- a/crates/router/src/delegate.rs
+++ b/crates/router/src/delegate.rs
@@ -17,7 +17,7 @@
 pub const LEADERS_PER_ZONE: usize = 2;
 /// Time without a message after which a zone leader no longer counts. A leader sends three messages
 /// in this time, and the shortest bound for a change to take effect is twice as long.
-pub const SILENT: Duration = Duration::from_millis(1_000);
+pub const LEADER_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// How long a gateway keeps following the store after two higher-ranked leaders are back. Leaders
 /// that come and go then cost a few calls rather than a full list each time.
 pub const STEP_DOWN_DELAY: Duration = Duration::from_millis(1_500);
@@ -32,7 +32,7 @@
 
 /// How a gateway learns of changes in the store.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Link {
+pub enum StoreLink {
     /// Through zone leaders.
     #[default]
     Indirect,
@@ -50,7 +50,7 @@
 
 /// Whether one gateway follows the store as a zone leader.
 #[derive(Clone, Copy, Debug)]
-pub struct Role {
+pub struct LeaderState {
     follows: bool,
     /// No higher-ranked gateway reaches the store.
     is_primary: bool,
@@ -61,15 +61,15 @@
     missed_since: Option<Timestamp>,
 }
 
-impl Role {
+impl LeaderState {
     /// Starts by following the store, because no leader is known yet.
     pub fn new(now: Timestamp) -> Self {
-        Role { follows: true, is_primary: true, last_needed: now, missed_since: None }
+        LeaderState { follows: true, is_primary: true, last_needed: now, missed_since: None }
     }
 
     /// Decides again whether to follow the store: of `higher_ranked` gateways, `connected` report
     /// that they reach it.
-    pub fn judge(&mut self, now: Timestamp, higher_ranked: usize, connected: usize) {
+    pub fn update(&mut self, now: Timestamp, higher_ranked: usize, connected: usize) {
         self.is_primary = self.follows && connected == 0;
         if connected >= LEADERS_PER_ZONE {
             self.missed_since = None;
--- a/crates/router/src/drift.rs
+++ b/crates/router/src/drift.rs
@@ -19,15 +19,15 @@
 
 /// Tracks since when each peer's checksum has differed from this gateway's.
 #[derive(Clone, Debug, Default)]
-pub struct Drift {
+pub struct DivergenceDetector {
     peers: HashMap<String, (Timestamp, Timestamp)>,
     next_call: Timestamp,
 }
 
-impl Drift {
+impl DivergenceDetector {
     /// Records whether a peer's checksum equals this gateway's; true when the states should be
     /// compared now.
-    pub fn hear(&mut self, now: Timestamp, peer: &str, same: bool) -> bool {
+    pub fn observe(&mut self, now: Timestamp, peer: &str, same: bool) -> bool {
         if same {
             self.peers.remove(peer);
             return false;
@@ -56,7 +56,7 @@
 }
 
 /// Returns a 64-bit hash of a text that is the same on all gateways.
-pub fn number(text: &str) -> u64 {
+pub fn stable_hash(text: &str) -> u64 {
     let step = |n: u64, b: u8| (n ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
     mix(text.bytes().fold(0xcbf2_9ce4_8422_2325, step))
 }
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -12,8 +12,8 @@
 use ebonyloft_core::time::Timestamp;
 
 use crate::catalog::{Engine, Server, ServerId};
-use crate::forecast::{MARGIN_SIGMAS, Profile};
-use crate::share::{Work, sample_size};
+use crate::forecast::{MARGIN_SIGMAS, MemoryForecast};
+use crate::share::{EngineLoad, sample_size};
 
 /// Time from the end of prefill to the first event: the transfer, the first step and the tokens of
 /// one event, with a margin for the network. Measured over 2,168 prompts of 25 gateways: 33 ms at
@@ -38,7 +38,7 @@
 pub const LATE_WAIT: Duration = Duration::from_millis(100);
 /// Longest prefill queue behind which a late request is processed: a third of the usual goal, so
 /// that it does not make requests in time miss theirs.
-pub const LATE_READ: Duration = Duration::from_millis(300);
+pub const LATE_PREFILL_MAX: Duration = Duration::from_millis(300);
 /// Fraction of the caller's remaining time after which a refused caller should retry: the latest
 /// time that callers follow, a third of it. By then a burst and the answers that it began have
 /// mostly ended; earlier retries meet both and are refused again.
@@ -50,20 +50,20 @@
 
 /// What a request needs from an engine.
 #[derive(Clone, Copy, Debug)]
-pub struct Need {
+pub struct Demand {
     /// Memory that it is expected to take.
-    pub memory: Profile,
+    pub memory: MemoryForecast,
     /// Latest time at which its first event is in time.
     pub first_by: Timestamp,
     /// Deadline of its caller.
     pub ends_at: Timestamp,
     /// Value per memory if it is in time, relative to the typical request.
-    pub gives: f64,
+    pub value: f64,
     /// Whether its caller has received a part of the answer already.
     pub begun: bool,
 }
 
-impl Need {
+impl Demand {
     /// Can the first event be in time when prefill ends at `read_at`?
     fn in_time(&self, read_at: Timestamp) -> bool {
         read_at.after(FIRST_EVENT) <= self.first_by
@@ -79,7 +79,7 @@
         if self.begun {
             return f64::INFINITY;
         }
-        self.gives * if late { LATE_VALUE } else { 1.0 }
+        self.value * if late { LATE_VALUE } else { 1.0 }
     }
 }
 
@@ -105,7 +105,7 @@
 
 /// Returns when a refused caller with the deadline `ends_at` should retry; `draw` is uniform in
 /// 0..1.
-pub fn come_back(now: Timestamp, ends_at: Timestamp, draw: f64) -> Timestamp {
+pub fn retry_after(now: Timestamp, ends_at: Timestamp, draw: f64) -> Timestamp {
     let wait = ends_at.since(now).mul_f64(RETRY_FRACTION + RETRY_JITTER * draw);
     now.after(wait.min(RETRY_MAX))
 }
@@ -116,7 +116,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Waiter {
-    need: Need,
+    need: Demand,
     /// It arrived when its goal was past or too close to be met.
     late: bool,
     /// On arrival its prompt could still be processed in time.
@@ -134,7 +134,7 @@
 
 /// Inputs of an admission decision besides this gateway's own load.
 #[derive(Clone, Copy, Debug)]
-pub struct View<'a> {
+pub struct AdmissionContext<'a> {
     /// Parameters of the service's engines.
     pub engine: &'a Engine,
     /// When prefill would end if the request were admitted now.
@@ -145,18 +145,18 @@
 
 /// What to do with a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Advice {
+pub enum AdmissionDecision {
     /// Ask this engine for a reservation.
     Ask(ServerId),
     /// Wait; ask again when an answer has ended, at this time at the latest.
     Wait(Timestamp),
     /// Refuse, with the time at which the caller should retry and the missing resource.
-    Refuse(Timestamp, Lack),
+    Refuse(Timestamp, Shortage),
 }
 
 /// The resource that a refused request was missing.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Lack {
+pub enum Shortage {
     /// Time: it arrived too late for its goal, and no memory was free for it.
     Time,
     /// A prefill engine that processes its prompt in time.
@@ -167,7 +167,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct EngineState {
-    load: Work,
+    load: EngineLoad,
     full_until: Timestamp,
     fault_until: Timestamp,
     rejects: u32,
@@ -175,7 +175,7 @@
 
 /// This gateway's load at all engines, and the requests that wait for admission.
 #[derive(Clone, Debug, Default)]
-pub struct Engines {
+pub struct EngineAdmission {
     records: HashMap<ServerId, EngineState>,
     waiting: BTreeMap<Ticket, Waiter>,
     completions: VecDeque<Timestamp>,
@@ -186,10 +186,10 @@
 /// gateways end too.
 pub const RECHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-impl Engines {
+impl EngineAdmission {
     /// Adds a request to the admission queue; `read_at` is when prefill would end if it were
     /// admitted now. `advise` then says what to do with it.
-    pub fn join(&mut self, now: Timestamp, need: Need, read_at: Timestamp) -> Ticket {
+    pub fn join(&mut self, now: Timestamp, need: Demand, read_at: Timestamp) -> Ticket {
         self.next_ticket += 1;
         let ticket = Ticket(self.next_ticket);
         let late = need.is_late(now);
@@ -213,26 +213,26 @@
         &self,
         now: Timestamp,
         ticket: Ticket,
-        view: &View<'_>,
+        view: &AdmissionContext<'_>,
         servers: impl Iterator<Item = &'a Server>,
-        work: impl Fn(&ServerId) -> Work,
+        work: impl Fn(&ServerId) -> EngineLoad,
         mut draw: impl FnMut() -> f64,
-    ) -> Advice {
+    ) -> AdmissionDecision {
         let Some(waiter) = self.waiting.get(&ticket) else {
-            return Advice::Refuse(now, Lack::Time);
+            return AdmissionDecision::Refuse(now, Shortage::Time);
         };
         let prefill_in_time = match waiter.late {
-            true => view.read_at.since(now) <= LATE_READ,
+            true => view.read_at.since(now) <= LATE_PREFILL_MAX,
             false => waiter.need.in_time(view.read_at),
         };
         let servers: Vec<&Server> = servers.collect();
-        let threshold = value_threshold(self.free(now, &servers, view.engine, &work));
+        let threshold = value_threshold(self.free_fraction(now, &servers, view.engine, &work));
         let ahead = self.requests_ahead(ticket, waiter, threshold);
         let room = self.most_free(now, &servers, view, &work, waiter.need.memory, &mut draw);
         if let (true, true, 0, Some(id)) =
             (prefill_in_time, waiter.relative_value() >= threshold, ahead, &room)
         {
-            return Advice::Ask(id.clone());
+            return AdmissionDecision::Ask(id.clone());
         }
         // With free memory, the requests ahead only have to ask for it, which takes milliseconds.
         let hopeless = room.is_none() && self.predicted_admission(now, ahead) > waiter.until;
@@ -240,13 +240,16 @@
             // A request that waited for memory until prefill could no longer be in time was missing
             // memory.
             let missing = match (waiter.late, waiter.prefill_in_time) {
-                (true, _) => Lack::Time,
-                (false, false) => Lack::Reader,
-                (false, true) => Lack::Memory,
+                (true, _) => Shortage::Time,
+                (false, false) => Shortage::Reader,
+                (false, true) => Shortage::Memory,
             };
-            return Advice::Refuse(come_back(now, waiter.need.ends_at, draw()), missing);
+            return AdmissionDecision::Refuse(
+                retry_after(now, waiter.need.ends_at, draw()),
+                missing,
+            );
         }
-        Advice::Wait(now.after(RECHECK_INTERVAL).min(waiter.until))
+        AdmissionDecision::Wait(now.after(RECHECK_INTERVAL).min(waiter.until))
     }
 
     /// Would a request have to wait here: no engine has room, the rest is kept for requests of
@@ -254,15 +257,15 @@
     pub fn is_short<'a>(
         &self,
         now: Timestamp,
-        need: &Need,
-        view: &View<'_>,
+        need: &Demand,
+        view: &AdmissionContext<'_>,
         servers: impl Iterator<Item = &'a Server>,
-        work: impl Fn(&ServerId) -> Work,
+        work: impl Fn(&ServerId) -> EngineLoad,
     ) -> bool {
         let servers: Vec<&Server> = servers.collect();
         let late = need.is_late(now);
         let prefill_in_time = late || need.in_time(view.read_at);
-        let threshold = value_threshold(self.free(now, &servers, view.engine, &work));
+        let threshold = value_threshold(self.free_fraction(now, &servers, view.engine, &work));
         !prefill_in_time
             || need.relative_value(late) < threshold
             || self.most_free(now, &servers, view, &work, need.memory, &mut || 0.0).is_none()
@@ -270,22 +273,22 @@
 
     /// Picks an engine for a request that overflows from another availability zone. It never waits
     /// here, and memory that is scarce or that local requests wait for is not granted.
-    pub fn lend<'a>(
+    pub fn grant<'a>(
         &self,
         now: Timestamp,
-        need: &Need,
-        view: &View<'_>,
+        need: &Demand,
+        view: &AdmissionContext<'_>,
         servers: impl Iterator<Item = &'a Server>,
-        work: impl Fn(&ServerId) -> Work,
+        work: impl Fn(&ServerId) -> EngineLoad,
         mut draw: impl FnMut() -> f64,
     ) -> Option<ServerId> {
         let servers: Vec<&Server> = servers.collect();
         let late = need.is_late(now);
         let prefill_in_time = match late {
-            true => view.read_at.since(now) <= LATE_READ,
+            true => view.read_at.since(now) <= LATE_PREFILL_MAX,
             false => need.in_time(view.read_at),
         };
-        let threshold = value_threshold(self.free(now, &servers, view.engine, &work));
+        let threshold = value_threshold(self.free_fraction(now, &servers, view.engine, &work));
         let above = self.waiting.values().filter(|w| w.relative_value() >= threshold).count();
         if !prefill_in_time || above > 0 || need.relative_value(late) < threshold {
             return None;
@@ -294,21 +297,32 @@
     }
 
     /// Records that an engine reserved memory for a request.
-    pub fn placed(&mut self, id: &ServerId, memory: Profile) {
+    pub fn on_reserved(&mut self, id: &ServerId, memory: MemoryForecast) {
         let record = self.records.entry(id.clone()).or_default();
         record.load.memory = record.load.memory.plus(memory);
         record.load.count += 1;
     }
 
     /// Replaces the memory forecast of an answer at an engine.
-    pub fn grown(&mut self, id: &ServerId, before: Profile, after: Profile) {
+    pub fn update_forecast(
+        &mut self,
+        id: &ServerId,
+        before: MemoryForecast,
+        after: MemoryForecast,
+    ) {
         if let Some(record) = self.records.get_mut(id) {
             record.load.memory = record.load.memory.minus(before).plus(after);
         }
     }
 
     /// Releases the memory of an answer; `completed` when the answer ended there.
-    pub fn freed(&mut self, now: Timestamp, id: &ServerId, memory: Profile, completed: bool) {
+    pub fn on_released(
+        &mut self,
+        now: Timestamp,
+        id: &ServerId,
+        memory: MemoryForecast,
+        completed: bool,
+    ) {
         if let Some(record) = self.records.get_mut(id) {
             record.load.memory = record.load.memory.minus(memory);
             record.load.count = record.load.count.saturating_sub(1);
@@ -338,7 +352,7 @@
     }
 
     /// Records that an engine refused a reservation.
-    pub fn full(&mut self, now: Timestamp, id: &ServerId) {
+    pub fn on_full(&mut self, now: Timestamp, id: &ServerId) {
         self.records.entry(id.clone()).or_default().full_until = now.after(FULL_BACKOFF);
     }
 
@@ -351,20 +365,20 @@
     }
 
     /// Records that an engine accepted a request.
-    pub fn took(&mut self, id: &ServerId) {
+    pub fn on_accepted(&mut self, id: &ServerId) {
         if let Some(record) = self.records.get_mut(id) {
             record.rejects = 0;
         }
     }
 
     /// Backs off from an engine until the given time.
-    pub fn rest(&mut self, id: &ServerId, until: Timestamp) {
+    pub fn back_off(&mut self, id: &ServerId, until: Timestamp) {
         let record = self.records.entry(id.clone()).or_default();
         record.fault_until = record.fault_until.max(until);
     }
 
     /// Records that an engine could not be reached or failed.
-    pub fn fault(&mut self, now: Timestamp, id: &ServerId) {
+    pub fn on_fault(&mut self, now: Timestamp, id: &ServerId) {
         self.records.entry(id.clone()).or_default().fault_until = now.after(FAULT_BACKOFF);
     }
 
@@ -380,16 +394,16 @@
     }
 
     /// Returns this gateway's load at an engine.
-    pub fn own(&self, id: &ServerId) -> Work {
-        self.records.get(id).map_or_else(Work::default, |r| r.load)
+    pub fn own_load(&self, id: &ServerId) -> EngineLoad {
+        self.records.get(id).map_or_else(EngineLoad::default, |r| r.load)
     }
 
     /// Returns this gateway's load at all engines where it has any, by short hash of the engine's
     /// id.
-    pub fn work(&self) -> BTreeMap<u32, Work> {
+    pub fn work(&self) -> BTreeMap<u32, EngineLoad> {
         self.records
             .iter()
-            .filter(|(_, r)| r.load != Work::default())
+            .filter(|(_, r)| r.load != EngineLoad::default())
             .map(|(id, r)| (id.short_hash(), r.load))
             .collect()
     }
@@ -401,7 +415,7 @@
 
     /// Forgets engines that are gone.
     pub fn retain(&mut self, alive: impl Fn(&ServerId) -> bool) {
-        self.records.retain(|id, r| alive(id) || r.load != Work::default());
+        self.records.retain(|id, r| alive(id) || r.load != EngineLoad::default());
     }
 
     /// Counts the requests above the value threshold that come before this one: requests in time
@@ -416,16 +430,16 @@
     }
 
     /// Returns the free fraction of the memory of all engines that are not failing.
-    pub fn free(
+    pub fn free_fraction(
         &self,
         now: Timestamp,
         servers: &[&Server],
         engine: &Engine,
-        work: impl Fn(&ServerId) -> Work,
+        work: impl Fn(&ServerId) -> EngineLoad,
     ) -> f64 {
         let (mut free, mut all) = (0, 0);
         for s in servers.iter().filter(|s| !self.faulty(now, &s.id)) {
-            let used = self.own(&s.id).plus(work(&s.id)).memory;
+            let used = self.own_load(&s.id).plus(work(&s.id)).memory;
             free += used.room(engine.tokens, MARGIN_SIGMAS).max(0) as u64;
             all += engine.tokens;
         }
@@ -433,16 +447,16 @@
     }
 
     /// Returns how many more answers with the forecast `typical` the engines can take now.
-    pub fn places(
+    pub fn free_capacity(
         &self,
         now: Timestamp,
         servers: &[&Server],
         engine: &Engine,
-        typical: Profile,
-        work: impl Fn(&ServerId) -> Work,
+        typical: MemoryForecast,
+        work: impl Fn(&ServerId) -> EngineLoad,
     ) -> u32 {
         let places = |s: &&&Server| {
-            let all = self.own(&s.id).plus(work(&s.id));
+            let all = self.own_load(&s.id).plus(work(&s.id));
             let room = all.memory.room(engine.tokens, MARGIN_SIGMAS).max(0) as u64;
             let slots = engine.slots.saturating_sub(all.count);
             slots.min((room / typical.peak().max(1)) as u32)
@@ -465,13 +479,13 @@
         &self,
         now: Timestamp,
         servers: &[&Server],
-        view: &View<'_>,
-        work: &impl Fn(&ServerId) -> Work,
-        memory: Profile,
+        view: &AdmissionContext<'_>,
+        work: &impl Fn(&ServerId) -> EngineLoad,
+        memory: MemoryForecast,
         draw: &mut impl FnMut() -> f64,
     ) -> Option<ServerId> {
         let room = |s: &Server| {
-            let all = self.own(&s.id).plus(work(&s.id));
+            let all = self.own_load(&s.id).plus(work(&s.id));
             let room = all.memory.plus(memory).room(view.engine.tokens, MARGIN_SIGMAS);
             // An idle engine takes an answer that fits its memory now, even if it may outgrow it.
             let idle_fit = all.count == 0 && memory.reserved() <= view.engine.tokens;
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -118,7 +118,7 @@
     /// Returns the gateways of `name`'s availability zone that rank above it, or `None` when it is
     /// not registered. The VM with the most CPU ranks first, since a duty costs the same CPU time
     /// on every VM.
-    pub fn ahead<'a>(&'a self, name: &'a str) -> Option<impl Iterator<Item = &'a str>> {
+    pub fn higher_ranked<'a>(&'a self, name: &'a str) -> Option<impl Iterator<Item = &'a str>> {
         let own = self.gateways.get(name)?;
         let ranks_above =
             move |n: &str, g: &Gateway| g.power > own.power || g.power == own.power && n < name;
@@ -127,9 +127,10 @@
     }
 
     /// Returns the highest-ranked gateways of each zone, whether they are running or not.
-    pub fn delegates(&self) -> impl Iterator<Item = &Gateway> {
-        let ranks_first =
-            |name: &str| self.ahead(name).is_some_and(|ahead| ahead.count() < LEADERS_PER_ZONE);
+    pub fn zone_leaders(&self) -> impl Iterator<Item = &Gateway> {
+        let ranks_first = |name: &str| {
+            self.higher_ranked(name).is_some_and(|ahead| ahead.count() < LEADERS_PER_ZONE)
+        };
         self.gateways.iter().filter(move |(name, _)| ranks_first(name)).map(|(_, g)| g)
     }
 }
--- a/crates/router/src/forecast.rs
+++ b/crates/router/src/forecast.rs
@@ -29,26 +29,26 @@
 /// Expected memory use in tokens at each point of `AHEAD`.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(from = "[[u64; POINTS.len()]; 2]", into = "[[u64; POINTS.len()]; 2]")]
-pub struct Profile {
+pub struct MemoryForecast {
     /// Expected use at each point.
     mean: [u64; POINTS.len()],
     /// Variance at each point, in units of 4,096 tokens squared.
     variance: [u64; POINTS.len()],
 }
 
-impl From<[[u64; POINTS.len()]; 2]> for Profile {
+impl From<[[u64; POINTS.len()]; 2]> for MemoryForecast {
     fn from([mean, variance]: [[u64; POINTS.len()]; 2]) -> Self {
-        Profile { mean, variance }
+        MemoryForecast { mean, variance }
     }
 }
 
-impl From<Profile> for [[u64; POINTS.len()]; 2] {
-    fn from(p: Profile) -> Self {
+impl From<MemoryForecast> for [[u64; POINTS.len()]; 2] {
+    fn from(p: MemoryForecast) -> Self {
         [p.mean, p.variance]
     }
 }
 
-impl Profile {
+impl MemoryForecast {
     /// Encodes in few bytes: memory rounded to 32 tokens, each point as the difference from the one
     /// before, and standard deviations in place of variances.
     pub(crate) fn encode(&self, out: &mut Vec<u8>) {
@@ -64,8 +64,8 @@
     }
 
     /// Decodes what `encode` wrote.
-    pub(crate) fn decode(bytes: &mut &[u8]) -> Option<Profile> {
-        let mut profile = Profile::default();
+    pub(crate) fn decode(bytes: &mut &[u8]) -> Option<MemoryForecast> {
+        let mut profile = MemoryForecast::default();
         let mut units = 0_i64;
         for mean in &mut profile.mean {
             units = units.checked_add(varint::read_signed(bytes)?)?;
@@ -79,13 +79,13 @@
 
     /// Returns a forecast of constant use.
     pub const fn constant(tokens: u64) -> Self {
-        Profile { mean: [tokens; POINTS.len()], variance: [0; POINTS.len()] }
+        MemoryForecast { mean: [tokens; POINTS.len()], variance: [0; POINTS.len()] }
     }
 
     /// Returns the forecast of an answer that uses `size(n)` tokens and has not ended with
     /// probability `survival(n)` at the point `n`.
     pub fn from_survival(size: impl Fn(u64) -> f64, survival: impl Fn(u64) -> f64) -> Self {
-        let mut profile = Profile::default();
+        let mut profile = MemoryForecast::default();
         for (i, ahead) in POINTS.into_iter().enumerate() {
             let (size, survival) = (size(ahead), survival(ahead));
             profile.mean[i] = (size * survival) as u64;
@@ -121,20 +121,20 @@
     }
 
     /// Returns the sum of both forecasts.
-    pub fn plus(self, other: Profile) -> Profile {
+    pub fn plus(self, other: MemoryForecast) -> MemoryForecast {
         self.combine(other, |a, b| a + b)
     }
 
     /// Returns this forecast without the other.
-    pub fn minus(self, other: Profile) -> Profile {
+    pub fn minus(self, other: MemoryForecast) -> MemoryForecast {
         self.combine(other, u64::saturating_sub)
     }
 
-    fn combine(self, other: Profile, join: impl Fn(u64, u64) -> u64) -> Profile {
+    fn combine(self, other: MemoryForecast, join: impl Fn(u64, u64) -> u64) -> MemoryForecast {
         let combined = |a: [u64; POINTS.len()], b: [u64; POINTS.len()]| {
             std::array::from_fn(|i| join(a[i], b[i]))
         };
-        Profile {
+        MemoryForecast {
             mean: combined(self.mean, other.mean),
             variance: combined(self.variance, other.variance),
         }
--- a/crates/router/src/freshness.rs
+++ b/crates/router/src/freshness.rs
@@ -7,7 +7,7 @@
 
 use ebonyloft_core::time::Timestamp;
 
-use crate::delegate::Link;
+use crate::delegate::StoreLink;
 
 /// How long after the store's return a missing backend server may still register again. The
 /// platform states about two seconds; a tenth is added for the transfer of the change.
@@ -15,13 +15,13 @@
 
 /// Reachability of the store and age of the list of backend servers.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Freshness {
+pub struct StoreState {
     unreachable_since: Option<Timestamp>,
     trusted_at: Timestamp,
     known_at: Timestamp,
 }
 
-impl Freshness {
+impl StoreState {
     /// Records an answer of the store whose content is valid as of `known_at`; true when the store
     /// was unreachable before.
     pub fn on_answer(&mut self, now: Timestamp, known_at: Timestamp) -> bool {
@@ -42,14 +42,14 @@
 
     /// Adopts the state of the store that a peer reports, on a gateway that does not follow the
     /// store; true when the store became reachable or unreachable.
-    pub fn adopt(&mut self, now: Timestamp, link: Link) -> bool {
+    pub fn adopt(&mut self, now: Timestamp, link: StoreLink) -> bool {
         let before = self.is_away();
         match link {
-            Link::Indirect => {}
-            Link::Away => {
+            StoreLink::Indirect => {}
+            StoreLink::Away => {
                 self.on_failure(now);
             }
-            Link::Heard { settles, .. } => {
+            StoreLink::Heard { settles, .. } => {
                 self.unreachable_since = None;
                 self.trusted_at = now.after(Duration::from_millis(settles.into()));
             }
@@ -65,13 +65,13 @@
     /// Returns what this gateway reports to its peers of the store. After `silence` without an
     /// answer it reports the store as unreachable, even while a call is pending, since its list no
     /// longer helps them.
-    pub fn link(&self, now: Timestamp, silence: Duration) -> Link {
+    pub fn link(&self, now: Timestamp, silence: Duration) -> StoreLink {
         let age = now.since(self.known_at);
         if self.is_away() || age > silence {
-            return Link::Away;
+            return StoreLink::Away;
         }
         let settles = self.trusted_at.since(now).as_millis() as u32;
-        Link::Heard { settles, age: age.as_millis() as u32 }
+        StoreLink::Heard { settles, age: age.as_millis() as u32 }
     }
 
     /// Returns the time as of which the list of backend servers is known to be complete.
@@ -80,7 +80,7 @@
     }
 
     /// Was the store never reached, or is it unreachable now?
-    pub fn is_unsure(&self) -> bool {
+    pub fn is_unconfirmed(&self) -> bool {
         self.is_away() || self.known_at == Timestamp::default()
     }
 
@@ -90,7 +90,7 @@
     }
 
     /// Does a missing registration mean that the backend server is gone?
-    pub fn settled(&self, now: Timestamp) -> bool {
+    pub fn is_trusted(&self, now: Timestamp) -> bool {
         self.unreachable_since.is_none() && now >= self.trusted_at
     }
 }
--- a/crates/router/src/growth.rs
+++ b/crates/router/src/growth.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::forecast::Profile;
+use crate::forecast::MemoryForecast;
 
 /// Logarithm of the answer length divided by the highest allowed output: initial guess, the mean
 /// and standard deviation over 2,096 answers of one day (median 708 of 2,040 tokens).
@@ -80,7 +80,7 @@
 
     /// Predicts the length of an answer of at most `max_tokens` tokens; `hint` is the caller's
     /// estimate.
-    pub fn expect(&self, max_tokens: u64, hint: Option<u64>) -> Growth {
+    pub fn expect(&self, max_tokens: u64, hint: Option<u64>) -> LengthForecast {
         let most = max_tokens.max(1) as f64;
         let (mut mean, mut var) = (most.ln() + self.ratio.mean, self.ratio.var);
         if let Some(hint) = hint {
@@ -90,13 +90,13 @@
             mean += weight * (hinted - mean);
             var *= 1.0 - weight;
         }
-        Growth { mean: mean.min(most.ln()), sigma: var.sqrt().max(SIGMA_MIN), most }
+        LengthForecast { mean: mean.min(most.ln()), sigma: var.sqrt().max(SIGMA_MIN), most }
     }
 }
 
 /// Predicted length of one answer, as a log-normal distribution.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Growth {
+pub struct LengthForecast {
     /// Mean of the logarithm of the length.
     mean: f64,
     /// Standard deviation of the logarithm of the length.
@@ -105,12 +105,12 @@
     most: f64,
 }
 
-impl Growth {
+impl LengthForecast {
     /// Forecasts the memory of the answer once it has `generated` tokens.
-    pub fn profile(&self, prompt: u64, generated: u64) -> Profile {
+    pub fn memory_forecast(&self, prompt: u64, generated: u64) -> MemoryForecast {
         let (prompt, generated) = (prompt as f64, generated as f64);
         let alive = self.survival(generated).max(TAIL_MIN);
-        Profile::from_survival(
+        MemoryForecast::from_survival(
             |ahead| prompt + (generated + ahead as f64).min(self.most.max(generated)),
             |ahead| match ahead {
                 0 => 1.0,
@@ -149,16 +149,16 @@
 
 /// Average cost and size of a service's requests, learned from those that arrive.
 #[derive(Clone, Copy, Debug)]
-pub struct Usual {
+pub struct TypicalRequest {
     cost: f64,
     size: f64,
     count: f64,
 }
 
-impl Default for Usual {
+impl Default for TypicalRequest {
     /// Initial guess: 3,200 prompt tokens and an answer of 864.
     fn default() -> Self {
-        Usual {
+        TypicalRequest {
             cost: 3_632.0 * 864.0,
             size: 3_200.0 + OUTPUT_TOKEN_WEIGHT * 864.0,
             count: INITIAL_WEIGHT,
@@ -166,9 +166,9 @@
     }
 }
 
-impl Usual {
+impl TypicalRequest {
     /// Records a request that arrived.
-    pub fn observe(&mut self, growth: &Growth, prompt: u64) {
+    pub fn observe(&mut self, growth: &LengthForecast, prompt: u64) {
         self.count += 1.0;
         let weight = (1.0 / self.count).max(SAMPLE_WEIGHT_MIN);
         self.cost += weight * (growth.cost(prompt) - self.cost);
@@ -178,7 +178,7 @@
     /// Returns a request's value for the memory that it is expected to take, relative to the
     /// average request. An answer of twice the length takes more memory for twice the time, but is
     /// worth less than twice as much to its caller.
-    pub fn gives(&self, growth: &Growth, prompt: u64) -> f64 {
+    pub fn gives(&self, growth: &LengthForecast, prompt: u64) -> f64 {
         let value = FIXED_VALUE + (1.0 - FIXED_VALUE) * growth.size(prompt) / self.size.max(1.0);
         value * self.cost / growth.cost(prompt).max(1.0)
     }
--- a/crates/router/src/holder.rs
+++ b/crates/router/src/holder.rs
@@ -35,7 +35,7 @@
 
 /// Record of the latest leader in the store, which is never deleted.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Record {
+pub struct LeaderRecord {
     /// Latest fencing token.
     pub fence: u64,
     /// Name of the leader that has this token.
@@ -44,7 +44,7 @@
 
 /// Leadership as held by this process.
 #[derive(Clone, Copy, Debug)]
-pub struct Held {
+pub struct Leadership {
     /// Fencing token.
     pub fence: u64,
     /// Id of the lease in the store.
@@ -55,7 +55,7 @@
     orders_from: Timestamp,
 }
 
-impl Held {
+impl Leadership {
     /// Leadership was acquired by a call sent at `sent` and answered at `now`; `first` when there
     /// was no leader before.
     pub fn taken(
@@ -67,7 +67,7 @@
         first: bool,
     ) -> Self {
         let orders_from = if first { now } else { now.after(gap) };
-        Held { fence, lease, expires_at: sent.after(LEASE), orders_from }
+        Leadership { fence, lease, expires_at: sent.after(LEASE), orders_from }
     }
 
     /// Records a renewal that was sent at `sent` and acknowledged.
--- a/crates/router/src/learned.rs
+++ b/crates/router/src/learned.rs
@@ -3,33 +3,33 @@
 
 use std::collections::HashMap;
 
-use crate::growth::{AnswerLengths, Usual};
-use crate::reading::Reading;
+use crate::growth::{AnswerLengths, TypicalRequest};
+use crate::reading::PrefillSpeed;
 use crate::stages::Shape;
 
 /// Statistics of one service's engines and requests.
 #[derive(Clone, Debug, Default)]
-pub struct Service {
+pub struct ServiceStats {
     /// Prefill speed of its engines.
-    pub reading: Reading,
+    pub reading: PrefillSpeed,
     /// Average shape of its requests, from which engines are divided between the stages.
     pub shape: Shape,
     /// Average request, the reference for the value of others.
-    pub usual: Usual,
+    pub usual: TypicalRequest,
 }
 
 /// Statistics of all services and routes.
 #[derive(Clone, Debug, Default)]
-pub struct Learned {
-    services: HashMap<String, Service>,
+pub struct TrafficStats {
+    services: HashMap<String, ServiceStats>,
     lengths: HashMap<String, AnswerLengths>,
 }
 
-impl Learned {
+impl TrafficStats {
     /// Returns the statistics of a service, initially the default guesses.
-    pub fn service(&mut self, name: &str) -> &mut Service {
+    pub fn service(&mut self, name: &str) -> &mut ServiceStats {
         if !self.services.contains_key(name) {
-            self.services.insert(name.to_owned(), Service::default());
+            self.services.insert(name.to_owned(), ServiceStats::default());
         }
         self.services.get_mut(name).expect("inserted above")
     }
--- a/crates/router/src/prefill.rs
+++ b/crates/router/src/prefill.rs
@@ -10,8 +10,8 @@
 use ebonyloft_core::time::Timestamp;
 
 use crate::catalog::{Server, ServerId};
-use crate::reading::Reading;
-use crate::share::{Work, sample_size};
+use crate::reading::PrefillSpeed;
+use crate::share::{EngineLoad, sample_size};
 
 /// Penalty for a prefill engine in another availability zone than the decode engine: the transfer
 /// takes twice as long and costs up to three times as much, and prefill takes some 100 ms.
@@ -27,11 +27,11 @@
 
 /// Speed of each engine relative to its service's average; 2.0 is twice as slow.
 #[derive(Clone, Debug, Default)]
-pub struct Paces {
+pub struct SpeedFactors {
     factors: HashMap<ServerId, f64>,
 }
 
-impl Paces {
+impl SpeedFactors {
     /// Returns the speed factor of an engine.
     pub fn of(&self, id: &ServerId) -> f64 {
         self.factors.get(id).copied().unwrap_or(1.0)
@@ -51,11 +51,11 @@
 }
 
 /// Inputs for choosing a prefill engine.
-pub struct Choice<'a> {
+pub struct ChoiceContext<'a> {
     /// Speed factor of each engine.
-    pub paces: &'a Paces,
+    pub paces: &'a SpeedFactors,
     /// Prefill speed of the service's engines.
-    pub reading: &'a Reading,
+    pub reading: &'a PrefillSpeed,
     /// Tokens of the prompt.
     pub prompt: u64,
     /// Availability zone of the decode engine, or of the gateway while none is chosen.
@@ -69,8 +69,8 @@
 pub fn pick<'a>(
     now: Timestamp,
     engines: impl Iterator<Item = &'a Server>,
-    work: impl Fn(&ServerId) -> Work,
-    choice: &Choice<'_>,
+    work: impl Fn(&ServerId) -> EngineLoad,
+    choice: &ChoiceContext<'_>,
     mut draw: impl FnMut() -> f64,
 ) -> Option<(&'a Server, Timestamp)> {
     let mut engines: Vec<(f64, &Server)> = engines.map(|s| (draw(), s)).collect();
--- a/crates/router/src/pulls.rs
+++ b/crates/router/src/pulls.rs
@@ -38,25 +38,25 @@
     const ALL: Versions = Versions { config: u64::MAX, roster: u64::MAX, fleet: u64::MAX };
 
     /// The versions to send when only one kind is requested: the others are marked as up to date.
-    pub fn asking(self, part: Part) -> Versions {
+    pub fn asking(self, part: FetchKind) -> Versions {
         match part {
-            Part::Config => Versions { config: self.config, ..Versions::ALL },
-            Part::Lists => Versions { config: u64::MAX, ..self },
+            FetchKind::Config => Versions { config: self.config, ..Versions::ALL },
+            FetchKind::Lists => Versions { config: u64::MAX, ..self },
         }
     }
 
     /// Does a peer with the versions `theirs` have a newer state of this kind?
-    pub fn lacks(self, part: Part, theirs: Versions) -> bool {
+    pub fn is_older(self, part: FetchKind, theirs: Versions) -> bool {
         match part {
-            Part::Config => theirs.config > self.config,
-            Part::Lists => theirs.roster > self.roster || theirs.fleet > self.fleet,
+            FetchKind::Config => theirs.config > self.config,
+            FetchKind::Lists => theirs.roster > self.roster || theirs.fleet > self.fleet,
         }
     }
 }
 
 /// What one call fetches.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Part {
+pub enum FetchKind {
     /// The configuration.
     Config,
     /// The lists of backend servers and of gateways.
@@ -65,7 +65,7 @@
 
 /// Calls in progress and recent calls.
 #[derive(Clone, Debug, Default)]
-pub struct Pulls {
+pub struct Fetches {
     config: CallState,
     lists: CallState,
     /// Revisions of the local lists, and since when peers have had newer ones.
@@ -80,7 +80,7 @@
     backoff_until: Timestamp,
 }
 
-impl Pulls {
+impl Fetches {
     /// Should a gateway that reaches the store itself fetch the lists of a peer with the versions
     /// `theirs`? Not while the store's own update may still arrive.
     pub fn is_behind(&mut self, now: Timestamp, own: Versions, theirs: Versions) -> bool {
@@ -88,14 +88,14 @@
         if self.lists_known != lists {
             (self.lists_known, self.behind_since) = (lists, None);
         }
-        if !own.lacks(Part::Lists, theirs) {
+        if !own.is_older(FetchKind::Lists, theirs) {
             return false;
         }
         now.since(*self.behind_since.get_or_insert(now)) >= STORE_WAIT
     }
 
     /// Records a call to this peer and returns true, unless none may be made now.
-    pub fn begin(&mut self, now: Timestamp, part: Part, from: SocketAddr) -> bool {
+    pub fn begin(&mut self, now: Timestamp, part: FetchKind, from: SocketAddr) -> bool {
         let calls = self.calls(part);
         calls.started.retain(|_, at| now.since(*at) <= PEER_INTERVAL);
         if calls.in_progress || now < calls.backoff_until || calls.started.contains_key(&from) {
@@ -107,7 +107,7 @@
     }
 
     /// Records the end of a call; `got` when it returned something newer.
-    pub fn end(&mut self, now: Timestamp, part: Part, got: bool) {
+    pub fn end(&mut self, now: Timestamp, part: FetchKind, got: bool) {
         let calls = self.calls(part);
         calls.in_progress = false;
         if !got {
@@ -115,10 +115,10 @@
         }
     }
 
-    fn calls(&mut self, part: Part) -> &mut CallState {
+    fn calls(&mut self, part: FetchKind) -> &mut CallState {
         match part {
-            Part::Config => &mut self.config,
-            Part::Lists => &mut self.lists,
+            FetchKind::Config => &mut self.config,
+            FetchKind::Lists => &mut self.lists,
         }
     }
 }
--- a/crates/router/src/quota.rs
+++ b/crates/router/src/quota.rs
@@ -16,7 +16,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::catalog::ServerId;
-use crate::drift::number;
+use crate::drift::stable_hash;
 use crate::limits::Limit;
 
 /// Validity of a token lease, from when it was requested.
@@ -42,7 +42,7 @@
     /// Hash of the key.
     pub fn number(&self) -> u64 {
         match self {
-            LimitKey::Account(name) => number(name.as_str()),
+            LimitKey::Account(name) => stable_hash(name.as_str()),
             LimitKey::Server(id) => id.number(),
         }
     }
--- a/crates/router/src/quota/ownership.rs
+++ b/crates/router/src/quota/ownership.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 
 use super::LimitKey;
-use crate::drift::{mix, number};
+use crate::drift::{mix, stable_hash};
 use crate::fleet::Fleet;
 
 /// Gateways ranked for a limit; when all of them are lost, no tokens are granted until the list changes.
@@ -21,7 +21,7 @@
 
 /// Compact number that identifies a gateway in `UnreachableGateways`.
 pub fn gateway_number(name: &str) -> u32 {
-    (number(name) >> 32) as u32
+    (stable_hash(name) >> 32) as u32
 }
 
 /// Access to the unreachable gateways that each gateway reports.
@@ -94,7 +94,7 @@
         .all()
         .iter()
         .map(|(name, gateway)| {
-            let sample = (mix(seed ^ number(name)) >> 11) as f64 / (1_u64 << 53) as f64;
+            let sample = (mix(seed ^ stable_hash(name)) >> 11) as f64 / (1_u64 << 53) as f64;
             let power = f64::from(gateway.power.max(1));
             (-sample.max(f64::MIN_POSITIVE).ln() / power, name)
         })
--- a/crates/router/src/reading.rs
+++ b/crates/router/src/reading.rs
@@ -10,7 +10,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use crate::share::Work;
+use crate::share::EngineLoad;
 
 /// Initial guess of the rate, in prompt tokens a second.
 pub const INITIAL_RATE: f64 = 33_333.0;
@@ -42,15 +42,15 @@
 
 /// Prefill speed of one service's engines.
 #[derive(Clone, Debug)]
-pub struct Reading {
+pub struct PrefillSpeed {
     samples: VecDeque<Sample>,
     rate: f64,
     overhead: f64,
 }
 
-impl Default for Reading {
+impl Default for PrefillSpeed {
     fn default() -> Self {
-        Reading {
+        PrefillSpeed {
             samples: VecDeque::new(),
             rate: INITIAL_RATE,
             overhead: INITIAL_OVERHEAD.as_secs_f64(),
@@ -58,7 +58,7 @@
     }
 }
 
-impl Reading {
+impl PrefillSpeed {
     /// Returns the prompt tokens that one otherwise idle engine processes in a second.
     pub fn rate(&self) -> f64 {
         self.rate
@@ -70,13 +70,13 @@
     }
 
     /// Returns how long an engine with this load takes until it has processed a prompt.
-    pub fn time(&self, work: Work, prompt: u64) -> Duration {
+    pub fn time(&self, work: EngineLoad, prompt: u64) -> Duration {
         Duration::from_secs_f64((work.unread + prompt) as f64 / self.rate + self.overhead)
     }
 
     /// Records that prefill took `took`; `work` is the engine's load known when the prompt was
     /// sent.
-    pub fn observe(&mut self, work: Work, prompt: u64, took: Duration) {
+    pub fn observe(&mut self, work: EngineLoad, prompt: u64, took: Duration) {
         if work.reads > 0 {
             return;
         }
--- a/crates/router/src/recency.rs
+++ b/crates/router/src/recency.rs
@@ -11,7 +11,7 @@
 use ebonyloft_core::time::Timestamp;
 
 /// Before a store drops its history, watchers may miss changes for up to this long.
-pub const DEAF: Duration = Duration::from_millis(1_000);
+pub const WATCH_LAG_MAX: Duration = Duration::from_millis(1_000);
 /// Fraction of the bound after which other gateways are queried.
 pub const QUERY_FRACTION: f64 = 0.3;
 /// Fraction of the bound after which a gateway that follows the store has asked it again; the rest
@@ -26,7 +26,7 @@
 
 /// Age of the configuration of one gateway.
 #[derive(Clone, Debug, Default)]
-pub struct Recency {
+pub struct ConfigStaleness {
     confirmed_at: Timestamp,
     /// A newer version that another gateway has, and as of when that version is known to be the
     /// newest.
@@ -37,14 +37,14 @@
 
 /// The configuration that another gateway reports.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Held {
+pub struct VersionAge {
     /// Version in force there.
     pub version: u64,
     /// Time since that version was known to be the newest.
     pub age: Duration,
 }
 
-impl Recency {
+impl ConfigStaleness {
     /// Records that the configuration in force was the newest at `at`.
     pub fn confirm(&mut self, at: Timestamp) {
         self.confirmed_at = self.confirmed_at.max(at);
@@ -55,7 +55,7 @@
     pub fn on_watch(&mut self, now: Timestamp, sent: Timestamp, wait: Duration, empty: bool) {
         let waited = empty && now >= sent.after(wait);
         let at = if waited { sent.after(wait) } else { sent };
-        self.confirm(at.before(DEAF));
+        self.confirm(at.before(WATCH_LAG_MAX));
     }
 
     /// Records that a configuration of this version is in force now.
@@ -79,7 +79,7 @@
     }
 
     /// May requests with API keys be served, when a revoked key must stop working within `bound`?
-    pub fn holds(&self, now: Timestamp, bound: Option<Duration>) -> bool {
+    pub fn is_fresh(&self, now: Timestamp, bound: Option<Duration>) -> bool {
         bound.is_none_or(|bound| self.age(now) < bound.saturating_sub(CLOCK_DRIFT))
     }
 
@@ -102,14 +102,14 @@
 
     /// Handles the answer to a query; `version` is in force here. Answers that match no query are
     /// ignored.
-    pub fn on_answer(&mut self, number: u64, version: u64, theirs: Held) {
+    pub fn on_answer(&mut self, number: u64, version: u64, theirs: VersionAge) {
         if let Some(sent) = self.queries.remove(&number) {
             self.on_held(sent, version, theirs);
         }
     }
 
     /// Handles the report of another gateway in reply to a message sent at `sent`.
-    pub fn on_held(&mut self, sent: Timestamp, version: u64, theirs: Held) {
+    pub fn on_held(&mut self, sent: Timestamp, version: u64, theirs: VersionAge) {
         let at = sent.before(theirs.age);
         if theirs.version <= version {
             return self.confirm(at);
--- a/crates/router/src/roster.rs
+++ b/crates/router/src/roster.rs
@@ -16,7 +16,7 @@
 
 /// Content of a registration.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum Entry {
+pub enum Registration {
     /// A backend server.
     Server(Server),
     /// An invalid entry: damaged, or written by another program.
@@ -31,7 +31,7 @@
     /// Name of the registration.
     pub name: String,
     /// Its new content.
-    pub entry: Entry,
+    pub entry: Registration,
     /// Revision of the change.
     pub revision: u64,
 }
@@ -68,7 +68,7 @@
 
 /// All known backend servers.
 #[derive(Clone, Debug, Default)]
-pub struct Roster {
+pub struct ServerRegistry {
     /// By name.
     known: BTreeMap<String, Registered>,
     /// Revisions of removals, so that an older registration does not come back.
@@ -88,7 +88,7 @@
 /// Number of leaving announcements after which those of unregistered incarnations are dropped.
 const LEAVING_MAX: usize = 4_096;
 
-impl Roster {
+impl ServerRegistry {
     /// Applies one change; `settled` when a removal means that the backend server is gone.
     pub fn apply(&mut self, change: Change, settled: bool) -> Effect {
         self.revision = self.revision.max(change.revision);
@@ -100,9 +100,9 @@
             return Effect::Stale;
         }
         match change.entry {
-            Entry::Server(server) => self.register(change.name, server, change.revision),
-            Entry::Wrong => self.exclude(&change.name, change.revision),
-            Entry::Removed => self.remove(&change.name, change.revision, settled),
+            Registration::Server(server) => self.register(change.name, server, change.revision),
+            Registration::Wrong => self.exclude(&change.name, change.revision),
+            Registration::Removed => self.remove(&change.name, change.revision, settled),
         }
     }
 
@@ -157,7 +157,7 @@
 
     /// Removes the backend servers whose registration is still missing now that the store is
     /// trusted.
-    pub fn settle(&mut self) -> Vec<String> {
+    pub fn remove_missing(&mut self) -> Vec<String> {
         let gone: Vec<String> = self
             .known
             .iter()
@@ -183,7 +183,7 @@
     }
 
     /// Records that an incarnation announced that it is leaving; true when this was not known.
-    pub fn hear_leaving(&mut self, id: &ServerId) -> bool {
+    pub fn on_leaving(&mut self, id: &ServerId) -> bool {
         if self.removed.contains_key(&id.name) || self.get(id).is_some_and(|s| s.draining) {
             return false;
         }
@@ -196,7 +196,7 @@
 
     /// Returns the incarnations that announced that they are leaving but are still registered as
     /// ready: peers may not know this from the store.
-    pub fn said(&self) -> impl Iterator<Item = &ServerId> {
+    pub fn announced_leaving(&self) -> impl Iterator<Item = &ServerId> {
         self.leaving.iter().filter(|id| self.get(id).is_some_and(|s| !s.draining))
     }
 
@@ -256,7 +256,7 @@
         let removed = self.removed.iter().filter(|(_, revision)| **revision > after);
         let removed = removed.map(|(name, revision)| Change {
             name: name.clone(),
-            entry: Entry::Removed,
+            entry: Registration::Removed,
             revision: *revision,
         });
         let known = self.known.iter().filter(|(_, k)| k.revision > after);
@@ -336,8 +336,8 @@
 /// was not trusted is passed on as removed, so that the other gateway decides for itself.
 fn to_change((name, known): (&String, &Registered)) -> Change {
     let entry = match known.unconfirmed {
-        true => Entry::Removed,
-        false => Entry::Server(known.server.clone()),
+        true => Registration::Removed,
+        false => Registration::Server(known.server.clone()),
     };
     Change { name: name.clone(), entry, revision: known.revision }
 }
--- a/crates/router/src/share.rs
+++ b/crates/router/src/share.rs
@@ -12,19 +12,19 @@
 use serde_with::serde_as;
 
 use crate::catalog::ServerId;
-use crate::delegate::{Link, SILENT};
+use crate::delegate::{LEADER_TIMEOUT, StoreLink};
 use crate::fleet::Fleet;
-use crate::forecast::Profile;
+use crate::forecast::MemoryForecast;
 use crate::limits::LimitUpdate;
 use crate::quarantine::QuarantineUpdate;
 use crate::quota::ownership::{UnreachableGateways, gateway_number};
 use crate::quota::{LeaseRequest, LeaseResponse, LimitKey};
 use crate::varint;
-use crate::zones::Digest;
+use crate::zones::ZoneSummary;
 
 /// Interval between two load reports to each peer while there is load: a tenth of the delay of the
 /// engines' own reports.
-pub const TELL: Duration = Duration::from_millis(100);
+pub const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 /// Peers up to which this interval applies, so that reading their reports stays a small part of a
 /// weak VM's work.
 pub const INTERVAL_PEERS: usize = 32;
@@ -43,16 +43,16 @@
 /// Returns the interval between two rounds with so many peers.
 pub fn pause(peers: usize) -> Duration {
     let more = peers.saturating_sub(INTERVAL_PEERS);
-    TELL + TELL.mul_f64(more as f64 / INTERVAL_PEERS_STEP as f64)
+    REPORT_INTERVAL + REPORT_INTERVAL.mul_f64(more as f64 / INTERVAL_PEERS_STEP as f64)
 }
 
 /// Load at one engine, encoded in few bytes because traffic between availability zones is
 /// expensive.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(try_from = "EncodedLoad", into = "EncodedLoad")]
-pub struct Work {
+pub struct EngineLoad {
     /// Forecast of the memory reserved and in use.
-    pub memory: Profile,
+    pub memory: MemoryForecast,
     /// Requests.
     pub count: u32,
     /// Prompt tokens sent for prefill and not processed yet.
@@ -66,8 +66,8 @@
 #[serde(transparent)]
 struct EncodedLoad(#[serde_as(as = "serde_with::Bytes")] Vec<u8>);
 
-impl From<Work> for EncodedLoad {
-    fn from(w: Work) -> Self {
+impl From<EngineLoad> for EncodedLoad {
+    fn from(w: EngineLoad) -> Self {
         let mut out = Vec::with_capacity(ENCODED_USUAL);
         varint::write_unsigned(&mut out, w.count.into());
         varint::write_unsigned(&mut out, w.unread);
@@ -77,25 +77,25 @@
     }
 }
 
-impl TryFrom<EncodedLoad> for Work {
+impl TryFrom<EncodedLoad> for EngineLoad {
     type Error = &'static str;
 
     fn try_from(EncodedLoad(bytes): EncodedLoad) -> Result<Self, Self::Error> {
-        Work::decode(&mut &bytes[..]).ok_or("truncated engine load")
+        EngineLoad::decode(&mut &bytes[..]).ok_or("truncated engine load")
     }
 }
 
-impl Work {
-    fn decode(bytes: &mut &[u8]) -> Option<Work> {
+impl EngineLoad {
+    fn decode(bytes: &mut &[u8]) -> Option<EngineLoad> {
         let count = varint::read_unsigned(bytes)?.try_into().ok()?;
         let unread = varint::read_unsigned(bytes)?;
         let reads = varint::read_unsigned(bytes)?.try_into().ok()?;
-        Some(Work { memory: Profile::decode(bytes)?, count, unread, reads })
+        Some(EngineLoad { memory: MemoryForecast::decode(bytes)?, count, unread, reads })
     }
 
     /// Returns the sum of both loads.
-    pub fn plus(self, other: Work) -> Work {
-        Work {
+    pub fn plus(self, other: EngineLoad) -> EngineLoad {
+        EngineLoad {
             memory: self.memory.plus(other.memory),
             count: self.count + other.count,
             unread: self.unread + other.unread,
@@ -109,7 +109,7 @@
 
 /// Load report of one gateway.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Share {
+pub struct LoadReport {
     /// Name of the sender's VM.
     #[serde(rename = "n")]
     pub name: String,
@@ -130,7 +130,7 @@
     pub fleet: u64,
     /// How the sender learns of changes in the store.
     #[serde(rename = "k")]
-    pub link: Link,
+    pub link: StoreLink,
     /// Requests waiting for admission at the sender.
     #[serde(rename = "q")]
     pub waiting: u32,
@@ -139,7 +139,7 @@
     pub changing: Vec<ServerId>,
     /// Load of the sender, by short hash of the engine's id.
     #[serde(rename = "w")]
-    pub work: BTreeMap<u32, Work>,
+    pub work: BTreeMap<u32, EngineLoad>,
     /// Checksum of the sender's gossip state.
     #[serde(rename = "t", default, skip_serializing_if = "is_zero")]
     pub notes: u64,
@@ -148,12 +148,12 @@
     pub missing: UnreachableGateways,
     /// Summaries of other availability zones that a zone leader relays.
     #[serde(rename = "d", default, skip_serializing_if = "Vec::is_empty")]
-    pub digests: Vec<Digest>,
+    pub digests: Vec<ZoneSummary>,
 }
 
 /// Gossip state: what gateways know besides the store and exchange with each other.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Notes {
+pub struct GossipState {
     /// Observations of requests that crash backend servers.
     #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
     pub words: Vec<QuarantineUpdate>,
@@ -165,7 +165,7 @@
     pub limits: Vec<LimitUpdate>,
 }
 
-impl Notes {
+impl GossipState {
     /// Is the gossip state empty?
     pub fn is_empty(&self) -> bool {
         self.words.is_empty() && self.leaving.is_empty() && self.limits.is_empty()
@@ -179,13 +179,13 @@
 
 /// A datagram between gateways.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum News {
+pub enum GossipMessage {
     /// Gossip state, sent to all gateways at once.
-    Notes(Notes),
+    Notes(GossipState),
     /// Load report, sent to the gateways that share engines.
-    Share(Share),
+    Share(LoadReport),
     /// Zone summary, sent to another availability zone.
-    Digest(Digest),
+    Digest(ZoneSummary),
     /// Request for tokens, sent to the owner of a rate limit or quota.
     Ask(LeaseRequest),
     /// Reply of the owner.
@@ -202,18 +202,18 @@
 #[derive(Clone, Debug)]
 struct Peer {
     received_at: Timestamp,
-    share: Share,
+    share: LoadReport,
 }
 
 /// The latest load report of each peer.
 #[derive(Clone, Debug, Default)]
-pub struct Shares {
+pub struct LoadReports {
     peers: HashMap<String, Peer>,
 }
 
-impl Shares {
+impl LoadReports {
     /// Stores a load report; false when it is older than the one known.
-    pub fn hear(&mut self, now: Timestamp, share: Share) -> bool {
+    pub fn hear(&mut self, now: Timestamp, share: LoadReport) -> bool {
         if let Some(peer) = self.peers.get(&share.name)
             && (peer.share.life, peer.share.seq) >= (share.life, share.seq)
         {
@@ -224,14 +224,14 @@
     }
 
     /// Returns the load of all peers at one engine.
-    pub fn work(&self, now: Timestamp, id: &ServerId) -> Work {
+    pub fn work(&self, now: Timestamp, id: &ServerId) -> EngineLoad {
         let timeout = LOAD_TIMEOUT.max(pause(self.peers.len()) * LOAD_ROUNDS);
         let number = id.short_hash();
         self.peers
             .values()
             .filter(|p| now.since(p.received_at) < timeout)
             .filter_map(|p| p.share.work.get(&number))
-            .fold(Work::default(), |sum, w| sum.plus(*w))
+            .fold(EngineLoad::default(), |sum, w| sum.plus(*w))
     }
 
     /// Returns the number of live peers.
@@ -241,13 +241,13 @@
     }
 
     /// Returns how a peer learns of changes in the store; `None` when it is silent.
-    pub fn link(&self, now: Timestamp, name: &str) -> Option<Link> {
+    pub fn link(&self, now: Timestamp, name: &str) -> Option<StoreLink> {
         let peer = self.peers.get(name)?;
-        (now.since(peer.received_at) < SILENT).then_some(peer.share.link)
+        (now.since(peer.received_at) < LEADER_TIMEOUT).then_some(peer.share.link)
     }
 
     /// Returns the gateways from which this one, named `own`, receives nothing.
-    pub fn missing(&self, now: Timestamp, fleet: &Fleet, own: &str) -> UnreachableGateways {
+    pub fn unreachable(&self, now: Timestamp, fleet: &Fleet, own: &str) -> UnreachableGateways {
         let others = fleet.all().keys().filter(|name| *name != own);
         others
             .filter(|name| self.recent_report(now, name).is_none())
@@ -260,19 +260,19 @@
         self.recent_report(now, name).map(|share| &share.missing)
     }
 
-    fn recent_report(&self, now: Timestamp, name: &str) -> Option<&Share> {
+    fn recent_report(&self, now: Timestamp, name: &str) -> Option<&LoadReport> {
         let peer = self.peers.get(name)?;
-        (now.since(peer.received_at) < SILENT).then_some(&peer.share)
+        (now.since(peer.received_at) < LEADER_TIMEOUT).then_some(&peer.share)
     }
 
     /// Returns the best connection to the store that any peer reports.
-    pub fn best_link(&self, now: Timestamp) -> Link {
-        let rank = |link: &Link| match link {
-            Link::Heard { settles, .. } => (0, *settles),
-            Link::Away => (1, 0),
-            Link::Indirect => (2, 0),
+    pub fn best_link(&self, now: Timestamp) -> StoreLink {
+        let rank = |link: &StoreLink| match link {
+            StoreLink::Heard { settles, .. } => (0, *settles),
+            StoreLink::Away => (1, 0),
+            StoreLink::Indirect => (2, 0),
         };
-        let recent = self.peers.values().filter(|p| now.since(p.received_at) < SILENT);
+        let recent = self.peers.values().filter(|p| now.since(p.received_at) < LEADER_TIMEOUT);
         recent.map(|p| p.share.link).min_by_key(rank).unwrap_or_default()
     }
 
@@ -280,13 +280,13 @@
     /// complete, by the reports of peers that follow the store and know nothing newer; `None` when
     /// there is no such report.
     pub fn known_at(&self, now: Timestamp, roster: u64) -> Option<Timestamp> {
-        let recent = self.peers.values().filter(|p| now.since(p.received_at) < SILENT);
+        let recent = self.peers.values().filter(|p| now.since(p.received_at) < LEADER_TIMEOUT);
         let not_newer = recent.filter(|p| p.share.roster <= roster);
         let at = not_newer.filter_map(|p| match p.share.link {
-            Link::Heard { age, .. } => {
+            StoreLink::Heard { age, .. } => {
                 Some(p.received_at.before(Duration::from_millis(age.into())))
             }
-            Link::Away | Link::Indirect => None,
+            StoreLink::Away | StoreLink::Indirect => None,
         });
         at.max()
     }
--- a/crates/router/src/stages.rs
+++ b/crates/router/src/stages.rs
@@ -9,7 +9,7 @@
 use ebonyloft_core::time::Timestamp;
 
 use crate::catalog::{Engine, Server, ServerId, Stage};
-use crate::forecast::Profile;
+use crate::forecast::MemoryForecast;
 
 /// Fraction of an engine's prefill speed to plan with; the rest absorbs bursts of arrivals.
 pub const PLANNED_FRACTION: f64 = 0.85;
@@ -69,8 +69,8 @@
     }
 
     /// Returns the memory that the average answer takes at its end.
-    pub fn memory(&self) -> Profile {
-        Profile::constant((self.prompt + self.output) as u64)
+    pub fn memory(&self) -> MemoryForecast {
+        MemoryForecast::constant((self.prompt + self.output) as u64)
     }
 
     /// Returns the time per output token.
@@ -117,7 +117,7 @@
 
 /// Inputs for planning the stages of a service.
 #[derive(Clone, Copy, Debug)]
-pub struct View<'a> {
+pub struct PlanContext<'a> {
     /// Name of the service.
     pub service: &'a str,
     /// Its usable engines, in one group per set of gateways that share them: all engines, or those
@@ -141,7 +141,7 @@
 
 impl Planner {
     /// Returns the next engine of a service to change and its new stage; at most one.
-    pub fn next(&mut self, now: Timestamp, view: &View<'_>) -> Option<(ServerId, Stage)> {
+    pub fn next(&mut self, now: Timestamp, view: &PlanContext<'_>) -> Option<(ServerId, Stage)> {
         self.drop_finished(now, view.groups);
         let change = self.change(view);
         if !self.is_due(now, view, change.map(|(_, stage)| stage)) {
@@ -175,7 +175,7 @@
     /// and the change brings it nearer. Without the second rule, six zones of six engines that each
     /// kept a little less than one prefill engine too many had 24 decode engines where 30 were
     /// wanted.
-    fn change(&self, view: &View<'_>) -> Option<(usize, Stage)> {
+    fn change(&self, view: &PlanContext<'_>) -> Option<(usize, Stage)> {
         let shape = view.shape.unwrap_or_default();
         let tolerance = if view.shape.is_some() { TOLERANCE } else { TOLERANCE_INITIAL };
         let gap = |servers: &Vec<&Server>| {
@@ -194,7 +194,7 @@
 
     /// Has this change been wanted for long enough? Before requests were seen the plan is stable
     /// and there is no load yet, so the change is made at once.
-    fn is_due(&mut self, now: Timestamp, view: &View<'_>, change: Option<Stage>) -> bool {
+    fn is_due(&mut self, now: Timestamp, view: &PlanContext<'_>, change: Option<Stage>) -> bool {
         let Some(stage) = change else {
             self.wanted.remove(view.service);
             return false;
--- a/crates/router/src/zones.rs
+++ b/crates/router/src/zones.rs
@@ -83,7 +83,7 @@
 
 /// Free capacity of a zone for one service.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Room {
+pub struct ServiceCapacity {
     /// Name of the service.
     #[serde(rename = "s")]
     pub service: String,
@@ -100,7 +100,7 @@
 
 /// Zone summary that a zone leader sends to other zones.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Digest {
+pub struct ZoneSummary {
     /// Name of the sender's VM.
     #[serde(rename = "n")]
     pub name: String,
@@ -130,21 +130,21 @@
     pub notes: u64,
     /// Free capacity of its zone, by service.
     #[serde(rename = "e")]
-    pub rooms: Vec<Room>,
+    pub rooms: Vec<ServiceCapacity>,
 }
 
 /// The latest summaries of other zones.
 #[derive(Clone, Debug, Default)]
-pub struct Digests {
-    summaries: HashMap<String, (Timestamp, Digest)>,
+pub struct ZoneSummaries {
+    summaries: HashMap<String, (Timestamp, ZoneSummary)>,
     /// Zones that granted no reservation, and until when they are not asked again.
     backoffs: HashMap<String, Timestamp>,
 }
 
-impl Digests {
+impl ZoneSummaries {
     /// Stores a summary, received from its sender or relayed; false when it is not newer than the
     /// one known.
-    pub fn hear(&mut self, now: Timestamp, digest: Digest) -> bool {
+    pub fn hear(&mut self, now: Timestamp, digest: ZoneSummary) -> bool {
         if let Some((_, before)) = self.summaries.get(&digest.name)
             && (before.life, before.seq) >= (digest.life, digest.seq)
         {
@@ -155,15 +155,15 @@
     }
 
     /// Returns the summaries that are still valid.
-    pub fn live(&self, now: Timestamp) -> impl Iterator<Item = &Digest> {
+    pub fn live(&self, now: Timestamp) -> impl Iterator<Item = &ZoneSummary> {
         let counts = move |at: &Timestamp| now.since(*at) < SUMMARY_LIFETIME;
         self.summaries.values().filter(move |(at, _)| counts(at)).map(|(_, digest)| digest)
     }
 
     /// Returns the latest summary of each zone, by zone, which a zone leader relays. The leaders of
     /// a zone report much the same, and in a fleet that starts all gateways are leaders.
-    pub fn passed_on(&self, now: Timestamp) -> impl Iterator<Item = &Digest> {
-        let mut latest: BTreeMap<&str, (Timestamp, &Digest)> = BTreeMap::new();
+    pub fn passed_on(&self, now: Timestamp) -> impl Iterator<Item = &ZoneSummary> {
+        let mut latest: BTreeMap<&str, (Timestamp, &ZoneSummary)> = BTreeMap::new();
         for (at, digest) in
             self.summaries.values().filter(|(at, _)| now.since(*at) < SUMMARY_LIFETIME)
         {
@@ -176,7 +176,7 @@
     }
 
     /// Records that a zone granted no reservation although its summary showed capacity.
-    pub fn full(&mut self, now: Timestamp, zone: &str) {
+    pub fn on_refused(&mut self, now: Timestamp, zone: &str) {
         self.backoffs.insert(zone.to_owned(), now.after(FULL_BACKOFF));
     }
 
@@ -190,20 +190,20 @@
     /// `within`, and the gateway there. Zones in `tried` are left out; `draw` is uniform in 0..1.
     /// Zones are drawn in proportion to their capacity: otherwise every gateway would choose the
     /// one with the most for as long as its summary is valid.
-    pub fn spill(
+    pub fn overflow_target(
         &self,
         now: Timestamp,
         service: &str,
         within: Duration,
         tried: &[String],
         draw: f64,
-    ) -> Option<&Digest> {
-        let weigh = |digest: &Digest| {
+    ) -> Option<&ZoneSummary> {
+        let weigh = |digest: &ZoneSummary| {
             let room = digest.rooms.iter().find(|r| r.service == service)?;
             let fits = room.free > OVERFLOW_FREE_MIN && u128::from(room.read) <= within.as_millis();
             (fits && room.places > 0).then(|| f64::from(room.places))
         };
-        let mut fit: Vec<(f64, &Digest)> = self
+        let mut fit: Vec<(f64, &ZoneSummary)> = self
             .live(now)
             .filter(|d| !tried.contains(&d.zone))
             .filter(|d| self.backoffs.get(&d.zone).is_none_or(|until| *until <= now))
--- a/crates/router/tests/delegate.rs
+++ b/crates/router/tests/delegate.rs
@@ -5,14 +5,15 @@
 
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::delegate::{
-    LEADERS_PER_ZONE, Link, Role, SILENT, STEP_DOWN_DELAY, TAKEOVER_STEP, TAKEOVER_STEPS_MAX,
+    LEADER_TIMEOUT, LEADERS_PER_ZONE, LeaderState, STEP_DOWN_DELAY, StoreLink, TAKEOVER_STEP,
+    TAKEOVER_STEPS_MAX,
 };
 use ebonyloft_router::fleet::{Fleet, Gateway, LAPSE_GRACE};
-use ebonyloft_router::freshness::Freshness;
-use ebonyloft_router::share::{Share, Shares};
+use ebonyloft_router::freshness::StoreState;
+use ebonyloft_router::share::{LoadReport, LoadReports};
 
 const NOW: Timestamp = Timestamp::from_millis(100_000);
-const HEARD: Link = Link::Heard { settles: 0, age: 0 };
+const HEARD: StoreLink = StoreLink::Heard { settles: 0, age: 0 };
 const SILENCE: Duration = Duration::from_millis(1_200);
 
 fn gateway(n: usize, zone: &str, power: u32) -> (String, Gateway) {
@@ -30,13 +31,13 @@
 }
 
 fn ahead(fleet: &Fleet, name: &str) -> Vec<String> {
-    fleet.ahead(name).expect("a registered gateway").map(str::to_owned).collect()
+    fleet.higher_ranked(name).expect("a registered gateway").map(str::to_owned).collect()
 }
 
 /// Counts the higher-ranked gateways that reach the store, by what the gateways report.
-fn connected_leaders(fleet: &Fleet, reports: &BTreeMap<&str, Link>, name: &str) -> usize {
-    let heard = |n: &&str| matches!(reports.get(n), Some(Link::Heard { .. }));
-    fleet.ahead(name).map_or(0, |names| names.filter(heard).count())
+fn connected_leaders(fleet: &Fleet, reports: &BTreeMap<&str, StoreLink>, name: &str) -> usize {
+    let heard = |n: &&str| matches!(reports.get(n), Some(StoreLink::Heard { .. }));
+    fleet.higher_ranked(name).map_or(0, |names| names.filter(heard).count())
 }
 
 #[test]
@@ -46,14 +47,14 @@
     assert_eq!(ahead(&fleet, "front-a-5"), ["front-a-4"]);
     assert_eq!(ahead(&fleet, "front-a-0"), ["front-a-4", "front-a-5"]);
     assert_eq!(ahead(&fleet, "front-b-3").len(), 5);
-    assert_eq!(fleet.delegates().count(), 2 * LEADERS_PER_ZONE);
-    assert!(fleet.delegates().all(|g| g.power == 500));
+    assert_eq!(fleet.zone_leaders().count(), 2 * LEADERS_PER_ZONE);
+    assert!(fleet.zone_leaders().all(|g| g.power == 500));
 }
 
 #[test]
 fn an_unregistered_gateway_follows_the_store() {
-    assert!(fleet().ahead("front-c-0").is_none());
-    assert!(Role::new(NOW).follows());
+    assert!(fleet().higher_ranked("front-c-0").is_none());
+    assert!(LeaderState::new(NOW).follows());
 }
 
 #[test]
@@ -84,16 +85,16 @@
 /// A gateway stops following the store only after a delay.
 #[test]
 fn a_gateway_follows_the_store_unless_two_higher_ranked_ones_do() {
-    let mut role = Role::new(NOW);
-    role.judge(NOW.after(STEP_DOWN_DELAY), 2, 2);
+    let mut role = LeaderState::new(NOW);
+    role.update(NOW.after(STEP_DOWN_DELAY), 2, 2);
     assert!(role.follows());
     let later = NOW.after(STEP_DOWN_DELAY + Duration::from_millis(1));
-    role.judge(later, 2, 2);
+    role.update(later, 2, 2);
     assert!(!role.follows());
-    role.judge(later, 2, 1);
-    role.judge(later.after(TAKEOVER_STEP), 2, 1);
+    role.update(later, 2, 1);
+    role.update(later.after(TAKEOVER_STEP), 2, 1);
     assert!(role.follows());
-    role.judge(later.after(STEP_DOWN_DELAY), 2, 2);
+    role.update(later.after(STEP_DOWN_DELAY), 2, 2);
     assert!(role.follows(), "it keeps following for a while");
 }
 
@@ -103,15 +104,15 @@
 fn gateways_of_a_zone_take_over_one_after_the_other() {
     let missed = NOW.after(STEP_DOWN_DELAY * 2);
     let follows_after = |ahead: usize, after: Duration| {
-        let mut role = Role::new(NOW);
-        role.judge(missed, ahead, 2);
-        role.judge(missed, ahead, 1);
-        role.judge(missed.after(after), ahead, 1);
+        let mut role = LeaderState::new(NOW);
+        role.update(missed, ahead, 2);
+        role.update(missed, ahead, 1);
+        role.update(missed.after(after), ahead, 1);
         role.follows()
     };
     let leads = |heard: usize| {
-        let mut role = Role::new(NOW);
-        role.judge(NOW, 3, heard);
+        let mut role = LeaderState::new(NOW);
+        role.update(NOW, 3, heard);
         role.leads()
     };
     assert!(follows_after(1, Duration::ZERO));
@@ -119,11 +120,11 @@
     assert!(!follows_after(5, TAKEOVER_STEP * 3) && follows_after(5, TAKEOVER_STEP * 4));
     assert!(follows_after(50, TAKEOVER_STEP * TAKEOVER_STEPS_MAX));
     assert!(leads(0) && !leads(1));
-    let mut role = Role::new(NOW);
-    role.judge(missed, 5, 2);
-    role.judge(missed, 5, 1);
-    role.judge(missed.after(TAKEOVER_STEP), 5, 2);
-    role.judge(missed.after(TAKEOVER_STEP * 4), 5, 1);
+    let mut role = LeaderState::new(NOW);
+    role.update(missed, 5, 2);
+    role.update(missed, 5, 1);
+    role.update(missed.after(TAKEOVER_STEP), 5, 2);
+    role.update(missed.after(TAKEOVER_STEP * 4), 5, 1);
     assert!(!role.follows(), "another gateway took over meanwhile");
 }
 
@@ -138,16 +139,16 @@
         let of = |i: usize| state / 3_usize.pow(i as u32) % 3;
         let healthy: Vec<&str> =
             (0..6).filter(|i| of(*i) == 0).map(|i| names[i].as_str()).collect();
-        let mut reports: BTreeMap<&str, Link> = BTreeMap::new();
+        let mut reports: BTreeMap<&str, StoreLink> = BTreeMap::new();
         // Each gateway decides by the latest reports of the others, until nothing changes.
         for _ in 0..8 {
             let before = reports.clone();
             for (i, name) in names.iter().enumerate().filter(|(i, _)| of(*i) < 2) {
                 let link =
                     match (connected_leaders(&fleet, &before, name) < LEADERS_PER_ZONE, of(i)) {
-                        (false, _) => Link::Indirect,
+                        (false, _) => StoreLink::Indirect,
                         (true, 0) => HEARD,
-                        (true, _) => Link::Away,
+                        (true, _) => StoreLink::Away,
                     };
                 reports.insert(name, link);
             }
@@ -159,19 +160,21 @@
 
 #[test]
 fn a_silent_zone_leader_does_not_count() {
-    let mut shares = Shares::default();
-    shares.hear(NOW, Share { name: "a".into(), seq: 1, link: HEARD, ..Share::default() });
+    let mut shares = LoadReports::default();
+    shares.hear(NOW, LoadReport { name: "a".into(), seq: 1, link: HEARD, ..LoadReport::default() });
     assert_eq!(shares.link(NOW, "a"), Some(HEARD));
-    assert_eq!(shares.link(NOW.after(SILENT), "a"), None);
-    assert_eq!(shares.best_link(NOW.after(SILENT)), Link::Indirect);
+    assert_eq!(shares.link(NOW.after(LEADER_TIMEOUT), "a"), None);
+    assert_eq!(shares.best_link(NOW.after(LEADER_TIMEOUT)), StoreLink::Indirect);
 }
 
 #[test]
 fn the_best_link_of_all_peers_counts() {
-    let mut shares = Shares::default();
-    let links = [Link::Indirect, Link::Away, Link::Heard { settles: 900, age: 0 }, HEARD];
+    let mut shares = LoadReports::default();
+    let links =
+        [StoreLink::Indirect, StoreLink::Away, StoreLink::Heard { settles: 900, age: 0 }, HEARD];
     for (n, link) in links.into_iter().enumerate() {
-        shares.hear(NOW, Share { name: format!("p{n}"), seq: 1, link, ..Share::default() });
+        shares
+            .hear(NOW, LoadReport { name: format!("p{n}"), seq: 1, link, ..LoadReport::default() });
         assert_eq!(shares.best_link(NOW), link);
     }
 }
@@ -179,33 +182,33 @@
 /// A gateway that does not follow the store trusts its registrations when its leaders do.
 #[test]
 fn a_gateway_adopts_the_store_state_of_its_zone_leader() {
-    let mut fresh = Freshness::default();
-    assert!(fresh.adopt(NOW, Link::Away));
-    assert!(!fresh.settled(NOW));
-    assert!(fresh.adopt(NOW, Link::Heard { settles: 700, age: 0 }));
-    assert!(!fresh.is_away() && !fresh.settled(NOW));
+    let mut fresh = StoreState::default();
+    assert!(fresh.adopt(NOW, StoreLink::Away));
+    assert!(!fresh.is_trusted(NOW));
+    assert!(fresh.adopt(NOW, StoreLink::Heard { settles: 700, age: 0 }));
+    assert!(!fresh.is_away() && !fresh.is_trusted(NOW));
     let settled = NOW.after(Duration::from_millis(700));
-    assert!(fresh.settled(settled));
-    assert!(!fresh.adopt(settled, Link::Indirect), "no report, no change");
+    assert!(fresh.is_trusted(settled));
+    assert!(!fresh.adopt(settled, StoreLink::Indirect), "no report, no change");
     fresh.known(NOW);
-    assert_eq!(fresh.link(NOW, SILENCE), Link::Heard { settles: 700, age: 0 });
+    assert_eq!(fresh.link(NOW, SILENCE), StoreLink::Heard { settles: 700, age: 0 });
 }
 
 /// A gateway that waits for a watch on a silent store must not keep its zone from replacing it
 /// until the watch ends.
 #[test]
 fn a_gateway_without_an_answer_for_long_reports_the_store_as_unreachable() {
-    let mut fresh = Freshness::default();
+    let mut fresh = StoreState::default();
     fresh.on_answer(NOW, NOW);
     let link = |at: Timestamp| fresh.link(at, SILENCE);
-    assert_eq!(link(NOW.after(SILENCE)), Link::Heard { settles: 0, age: 1_200 });
-    assert_eq!(link(NOW.after(SILENCE).after(Duration::from_millis(1))), Link::Away);
+    assert_eq!(link(NOW.after(SILENCE)), StoreLink::Heard { settles: 0, age: 1_200 });
+    assert_eq!(link(NOW.after(SILENCE).after(Duration::from_millis(1))), StoreLink::Away);
 }
 
 /// An answer that took long to read is valid as of when it was given.
 #[test]
 fn an_answer_is_valid_as_of_its_head() {
-    let mut fresh = Freshness::default();
+    let mut fresh = StoreState::default();
     fresh.on_answer(NOW.after(SILENCE), NOW);
     assert_eq!(fresh.known_at(), NOW);
     fresh.known(NOW.before(SILENCE));
@@ -216,17 +219,20 @@
 /// know more don't count.
 #[test]
 fn a_list_from_peers_is_as_old_as_they_report() {
-    let mut shares = Shares::default();
+    let mut shares = LoadReports::default();
     assert_eq!(shares.known_at(NOW, 9), None);
-    let link = |age| Link::Heard { settles: 0, age };
+    let link = |age| StoreLink::Heard { settles: 0, age };
     let peers =
-        [("a", 9, link(400)), ("b", 8, link(300)), ("c", 10, link(0)), ("d", 9, Link::Away)];
+        [("a", 9, link(400)), ("b", 8, link(300)), ("c", 10, link(0)), ("d", 9, StoreLink::Away)];
     for (name, roster, link) in peers {
-        shares.hear(NOW, Share { name: name.into(), seq: 1, roster, link, ..Share::default() });
+        shares.hear(
+            NOW,
+            LoadReport { name: name.into(), seq: 1, roster, link, ..LoadReport::default() },
+        );
     }
     let ago = |ms| Some(NOW.before(Duration::from_millis(ms)));
     assert_eq!(shares.known_at(NOW, 9), ago(300));
     assert_eq!(shares.known_at(NOW, 10), ago(0));
     assert_eq!(shares.known_at(NOW, 7), None);
-    assert_eq!(shares.known_at(NOW.after(SILENT), 9), None);
+    assert_eq!(shares.known_at(NOW.after(LEADER_TIMEOUT), 9), None);
 }
--- a/crates/router/tests/engines.rs
+++ b/crates/router/tests/engines.rs
@@ -8,12 +8,12 @@
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Engine, Server, ServerId, Stage};
 use ebonyloft_router::engines::{
-    Advice, Engines, FREE_SCARCE, FREE_TIGHT, FULL_BACKOFF, Lack, Need, REJECT_BACKOFF,
-    THRESHOLD_MAX, Ticket, View, value_threshold,
+    AdmissionContext, AdmissionDecision, Demand, EngineAdmission, FREE_SCARCE, FREE_TIGHT,
+    FULL_BACKOFF, REJECT_BACKOFF, Shortage, THRESHOLD_MAX, Ticket, value_threshold,
 };
-use ebonyloft_router::forecast::{MARGIN_SIGMAS, Profile};
-use ebonyloft_router::growth::{AnswerLengths, Usual};
-use ebonyloft_router::share::Work;
+use ebonyloft_router::forecast::{MARGIN_SIGMAS, MemoryForecast};
+use ebonyloft_router::growth::{AnswerLengths, TypicalRequest};
+use ebonyloft_router::share::EngineLoad;
 
 use self::fleet::{engine, server};
 
@@ -36,179 +36,196 @@
 }
 
 /// A request that needs 4,000 tokens and is in time with its first event within 900 ms.
-fn need() -> Need {
+fn need() -> Demand {
     let (first_by, ends_at) = (after(900), after(14_000));
-    Need { memory: Profile::constant(4_000), first_by, ends_at, gives: 1.0, begun: false }
+    Demand { memory: MemoryForecast::constant(4_000), first_by, ends_at, value: 1.0, begun: false }
 }
 
-fn advise(engines: &Engines, at: Timestamp, ticket: Ticket, servers: &[Server]) -> Advice {
-    advise_with(engines, at, ticket, at.after(Duration::from_millis(100)), servers, Work::default())
+fn advise(
+    engines: &EngineAdmission,
+    at: Timestamp,
+    ticket: Ticket,
+    servers: &[Server],
+) -> AdmissionDecision {
+    advise_with(
+        engines,
+        at,
+        ticket,
+        at.after(Duration::from_millis(100)),
+        servers,
+        EngineLoad::default(),
+    )
 }
 
 /// The same with the time at which prefill would end, and the peers' load at each engine.
 fn advise_with(
-    engines: &Engines,
+    engines: &EngineAdmission,
     at: Timestamp,
     ticket: Ticket,
     read_at: Timestamp,
     servers: &[Server],
-    peers: Work,
-) -> Advice {
-    let view = View { engine: &spec(), read_at, entries: 4 };
+    peers: EngineLoad,
+) -> AdmissionDecision {
+    let view = AdmissionContext { engine: &spec(), read_at, entries: 4 };
     engines.advise(at, ticket, &view, servers.iter(), |_| peers, || 0.5)
 }
 
 #[test]
 fn two_simultaneous_requests_are_both_admitted_when_there_is_room() {
     let servers = servers(2);
-    let mut engines = Engines::default();
+    let mut engines = EngineAdmission::default();
     let first = engines.join(NOW, need(), after(100));
     let second = engines.join(NOW, need(), after(100));
-    assert!(matches!(advise(&engines, NOW, first, &servers), Advice::Ask(_)));
-    assert!(matches!(advise(&engines, NOW, second, &servers), Advice::Wait(_)));
+    assert!(matches!(advise(&engines, NOW, first, &servers), AdmissionDecision::Ask(_)));
+    assert!(matches!(advise(&engines, NOW, second, &servers), AdmissionDecision::Wait(_)));
     engines.leave(first);
-    assert!(matches!(advise(&engines, NOW, second, &servers), Advice::Ask(_)));
+    assert!(matches!(advise(&engines, NOW, second, &servers), AdmissionDecision::Ask(_)));
 }
 
 #[test]
 fn the_engine_with_the_most_free_memory_is_asked() {
     let servers = servers(3);
-    let mut engines = Engines::default();
-    engines.placed(&id(0), Profile::constant(12_000));
-    engines.placed(&id(2), Profile::constant(8_000));
+    let mut engines = EngineAdmission::default();
+    engines.on_reserved(&id(0), MemoryForecast::constant(12_000));
+    engines.on_reserved(&id(2), MemoryForecast::constant(8_000));
     let ticket = engines.join(NOW, need(), after(100));
-    assert_eq!(advise(&engines, NOW, ticket, &servers), Advice::Ask(id(1)));
+    assert_eq!(advise(&engines, NOW, ticket, &servers), AdmissionDecision::Ask(id(1)));
 }
 
 #[test]
 fn the_load_of_peers_counts() {
     let servers = servers(1);
-    let mut engines = Engines::default();
+    let mut engines = EngineAdmission::default();
     let ticket = engines.join(NOW, need(), after(100));
-    let full = Work { memory: Profile::constant(17_000), count: 4, ..Work::default() };
+    let full =
+        EngineLoad { memory: MemoryForecast::constant(17_000), count: 4, ..EngineLoad::default() };
     let advice = advise_with(&engines, NOW, ticket, after(100), &servers, full);
-    assert!(matches!(advice, Advice::Wait(_)));
+    assert!(matches!(advice, AdmissionDecision::Wait(_)));
 }
 
 #[test]
 fn the_request_with_the_earliest_goal_goes_first() {
     let servers = servers(1);
-    let mut engines = Engines::default();
+    let mut engines = EngineAdmission::default();
     let relaxed = engines.join(NOW, need(), after(100));
-    let pressed = Need { first_by: after(600), ..need() };
+    let pressed = Demand { first_by: after(600), ..need() };
     let pressed = engines.join(NOW, pressed, after(100));
-    assert!(matches!(advise(&engines, NOW, pressed, &servers), Advice::Ask(_)));
-    assert!(matches!(advise(&engines, NOW, relaxed, &servers), Advice::Wait(_)));
+    assert!(matches!(advise(&engines, NOW, pressed, &servers), AdmissionDecision::Ask(_)));
+    assert!(matches!(advise(&engines, NOW, relaxed, &servers), AdmissionDecision::Wait(_)));
 }
 
 #[test]
 fn a_late_request_goes_behind_all_that_can_be_in_time() {
     let servers = servers(1);
-    let mut engines = Engines::default();
-    let late = Need { first_by: NOW, ..need() };
+    let mut engines = EngineAdmission::default();
+    let late = Demand { first_by: NOW, ..need() };
     let late = engines.join(NOW, late, after(100));
     let fresh = engines.join(NOW, need(), after(100));
-    assert!(matches!(advise(&engines, NOW, fresh, &servers), Advice::Ask(_)));
-    assert!(matches!(advise(&engines, NOW, late, &servers), Advice::Wait(_)));
+    assert!(matches!(advise(&engines, NOW, fresh, &servers), AdmissionDecision::Ask(_)));
+    assert!(matches!(advise(&engines, NOW, late, &servers), AdmissionDecision::Wait(_)));
 }
 
 #[test]
 fn a_request_whose_prefill_would_end_too_late_is_refused_at_once() {
     let servers = servers(1);
-    let mut engines = Engines::default();
+    let mut engines = EngineAdmission::default();
     let ticket = engines.join(NOW, need(), after(2_000));
-    let advice = advise_with(&engines, NOW, ticket, after(2_000), &servers, Work::default());
-    let Advice::Refuse(at, Lack::Reader) = advice else { panic!("{advice:?}") };
+    let advice = advise_with(&engines, NOW, ticket, after(2_000), &servers, EngineLoad::default());
+    let AdmissionDecision::Refuse(at, Shortage::Reader) = advice else { panic!("{advice:?}") };
     assert!(at > after(2_000));
 }
 
 #[test]
 fn a_request_that_waits_in_vain_is_refused_before_its_goal() {
     let servers = servers(1);
-    let mut engines = Engines::default();
-    engines.placed(&id(0), Profile::constant(18_000));
+    let mut engines = EngineAdmission::default();
+    engines.on_reserved(&id(0), MemoryForecast::constant(18_000));
     let ticket = engines.join(NOW, need(), after(100));
-    assert!(matches!(advise(&engines, NOW, ticket, &servers), Advice::Wait(_)));
+    assert!(matches!(advise(&engines, NOW, ticket, &servers), AdmissionDecision::Wait(_)));
     let advice = advise(&engines, after(700), ticket, &servers);
-    assert!(matches!(advice, Advice::Refuse(_, Lack::Memory)), "{advice:?}");
+    assert!(matches!(advice, AdmissionDecision::Refuse(_, Shortage::Memory)), "{advice:?}");
 }
 
 #[test]
 fn with_many_requests_ahead_and_few_completions_a_request_is_refused() {
     let servers = servers(1);
-    let mut engines = Engines::default();
-    engines.placed(&id(0), Profile::constant(18_000));
+    let mut engines = EngineAdmission::default();
+    engines.on_reserved(&id(0), MemoryForecast::constant(18_000));
     let mut last = engines.join(NOW, need(), after(100));
     for _ in 0..5 {
         last = engines.join(NOW, need(), after(100));
     }
-    assert!(matches!(advise(&engines, NOW, last, &servers), Advice::Refuse(..)));
+    assert!(matches!(advise(&engines, NOW, last, &servers), AdmissionDecision::Refuse(..)));
 }
 
 #[test]
 fn a_full_engine_is_not_asked_until_an_answer_ends_there() {
     let servers = servers(1);
-    let mut engines = Engines::default();
-    engines.placed(&id(0), Profile::constant(100));
-    engines.full(NOW, &id(0));
+    let mut engines = EngineAdmission::default();
+    engines.on_reserved(&id(0), MemoryForecast::constant(100));
+    engines.on_full(NOW, &id(0));
     let ticket = engines.join(NOW, need(), after(100));
-    assert!(matches!(advise(&engines, NOW, ticket, &servers), Advice::Wait(_)));
-    engines.freed(NOW, &id(0), Profile::constant(100), true);
-    assert!(matches!(advise(&engines, NOW, ticket, &servers), Advice::Ask(_)));
+    assert!(matches!(advise(&engines, NOW, ticket, &servers), AdmissionDecision::Wait(_)));
+    engines.on_released(NOW, &id(0), MemoryForecast::constant(100), true);
+    assert!(matches!(advise(&engines, NOW, ticket, &servers), AdmissionDecision::Ask(_)));
 }
 
 #[test]
 fn a_full_engine_is_asked_again_after_its_backoff() {
     let servers = servers(1);
-    let mut engines = Engines::default();
-    engines.full(NOW, &id(0));
+    let mut engines = EngineAdmission::default();
+    engines.on_full(NOW, &id(0));
     let ticket = engines.join(NOW, need(), after(100));
     let later = NOW.after(FULL_BACKOFF);
-    assert!(matches!(advise(&engines, later, ticket, &servers), Advice::Ask(_)));
+    assert!(matches!(advise(&engines, later, ticket, &servers), AdmissionDecision::Ask(_)));
 }
 
 #[test]
 fn the_backoff_grows_with_each_rejected_reservation() {
     let servers = servers(1);
-    let mut engines = Engines::default();
-    let long = Need { first_by: after(60_000), ..need() };
+    let mut engines = EngineAdmission::default();
+    let long = Demand { first_by: after(60_000), ..need() };
     let ticket = engines.join(NOW, long, after(100));
     engines.rejected(NOW, &id(0));
     let once = NOW.after(REJECT_BACKOFF);
-    assert!(matches!(advise(&engines, once, ticket, &servers), Advice::Ask(_)));
+    assert!(matches!(advise(&engines, once, ticket, &servers), AdmissionDecision::Ask(_)));
     engines.rejected(once, &id(0));
     let again = once.after(REJECT_BACKOFF);
-    assert!(matches!(advise(&engines, again, ticket, &servers), Advice::Wait(_)));
-    engines.took(&id(0));
+    assert!(matches!(advise(&engines, again, ticket, &servers), AdmissionDecision::Wait(_)));
+    engines.on_accepted(&id(0));
     engines.rejected(after(10_000), &id(0));
     let later = after(10_000).after(REJECT_BACKOFF);
-    assert!(matches!(advise(&engines, later, ticket, &servers), Advice::Ask(_)));
+    assert!(matches!(advise(&engines, later, ticket, &servers), AdmissionDecision::Ask(_)));
 }
 
 #[test]
 fn released_memory_is_free() {
-    let mut engines = Engines::default();
-    engines.placed(&id(0), Profile::constant(4_000));
-    engines.grown(&id(0), Profile::constant(4_000), Profile::constant(4_700));
+    let mut engines = EngineAdmission::default();
+    engines.on_reserved(&id(0), MemoryForecast::constant(4_000));
+    engines.update_forecast(
+        &id(0),
+        MemoryForecast::constant(4_000),
+        MemoryForecast::constant(4_700),
+    );
     engines.reading(&id(1), 3_000);
-    assert_eq!(engines.own(&id(0)).memory.peak(), 4_700);
+    assert_eq!(engines.own_load(&id(0)).memory.peak(), 4_700);
     engines.read(&id(1), 3_000);
-    engines.freed(NOW, &id(0), Profile::constant(4_700), true);
+    engines.on_released(NOW, &id(0), MemoryForecast::constant(4_700), true);
     assert!(engines.work().is_empty());
 }
 
 /// The name is reused by a new incarnation, an engine without any load.
 #[test]
 fn state_of_an_incarnation_does_not_apply_to_the_next() {
-    let mut engines = Engines::default();
+    let mut engines = EngineAdmission::default();
     let next = ServerId::new(id(0).name, 7);
-    engines.placed(&id(0), Profile::constant(18_000));
-    engines.fault(NOW, &id(0));
+    engines.on_reserved(&id(0), MemoryForecast::constant(18_000));
+    engines.on_fault(NOW, &id(0));
     let servers = [Server { id: next.clone(), ..servers(1).remove(0) }];
     let ticket = engines.join(NOW, need(), after(100));
-    assert_eq!(advise(&engines, NOW, ticket, &servers), Advice::Ask(next.clone()));
+    assert_eq!(advise(&engines, NOW, ticket, &servers), AdmissionDecision::Ask(next.clone()));
     // Once the answers of the old incarnation have ended, its state is dropped.
-    engines.freed(NOW, &id(0), Profile::constant(18_000), false);
+    engines.on_released(NOW, &id(0), MemoryForecast::constant(18_000), false);
     engines.retain(|alive| *alive == next);
     assert!(engines.work().is_empty());
     assert!(!engines.faulty(NOW, &id(0)));
@@ -225,16 +242,24 @@
 
 /// Peers' load at 20 engines of 20,000 tokens, of which only one has room: 5 % of all memory is
 /// free.
-fn scarce(s: &ServerId) -> Work {
+fn scarce(s: &ServerId) -> EngineLoad {
     match *s == id(7) {
-        true => Work { memory: Profile::constant(12_000), count: 3, ..Work::default() },
-        false => Work { memory: Profile::constant(19_800), count: 6, ..Work::default() },
+        true => EngineLoad {
+            memory: MemoryForecast::constant(12_000),
+            count: 3,
+            ..EngineLoad::default()
+        },
+        false => EngineLoad {
+            memory: MemoryForecast::constant(19_800),
+            count: 6,
+            ..EngineLoad::default()
+        },
     }
 }
 
 /// The decision for a request while memory is scarce.
-fn advise_scarce(engines: &Engines, ticket: Ticket) -> Advice {
-    let view = View { engine: &spec(), read_at: after(100), entries: 4 };
+fn advise_scarce(engines: &EngineAdmission, ticket: Ticket) -> AdmissionDecision {
+    let view = AdmissionContext { engine: &spec(), read_at: after(100), entries: 4 };
     engines.advise(NOW, ticket, &view, servers(20).iter(), scarce, || 0.5)
 }
 
@@ -242,31 +267,31 @@
 #[test]
 fn scarce_memory_is_left_to_requests_of_higher_value() {
     let advice = |gives: f64, late: bool, begun: bool| {
-        let mut engines = Engines::default();
+        let mut engines = EngineAdmission::default();
         let first_by = if late { NOW } else { after(900) };
-        let need = Need { gives, begun, first_by, ..need() };
+        let need = Demand { value: gives, begun, first_by, ..need() };
         let ticket = engines.join(NOW, need, after(100));
         advise_scarce(&engines, ticket)
     };
-    assert_eq!(advice(2.5, false, false), Advice::Ask(id(7)));
-    assert!(matches!(advice(0.5, false, false), Advice::Wait(_)));
+    assert_eq!(advice(2.5, false, false), AdmissionDecision::Ask(id(7)));
+    assert!(matches!(advice(0.5, false, false), AdmissionDecision::Wait(_)));
     // A late answer is worth less; an answer that has begun must continue.
-    assert!(matches!(advice(2.5, true, false), Advice::Wait(_)));
-    assert_eq!(advice(0.5, false, true), Advice::Ask(id(7)));
+    assert!(matches!(advice(2.5, true, false), AdmissionDecision::Wait(_)));
+    assert_eq!(advice(0.5, false, true), AdmissionDecision::Ask(id(7)));
 }
 
 /// A waiting request below the value threshold must not make others wait.
 #[test]
 fn a_request_below_the_threshold_does_not_block_others() {
-    let mut engines = Engines::default();
-    engines.join(NOW, Need { gives: 0.3, first_by: after(800), ..need() }, after(100));
-    let second = engines.join(NOW, Need { gives: 2.5, ..need() }, after(100));
-    assert_eq!(advise_scarce(&engines, second), Advice::Ask(id(7)));
+    let mut engines = EngineAdmission::default();
+    engines.join(NOW, Demand { value: 0.3, first_by: after(800), ..need() }, after(100));
+    let second = engines.join(NOW, Demand { value: 2.5, ..need() }, after(100));
+    assert_eq!(advise_scarce(&engines, second), AdmissionDecision::Ask(id(7)));
 }
 
 #[test]
 fn a_shorter_answer_has_a_higher_value_for_its_memory() {
-    let (lengths, usual) = (AnswerLengths::default(), Usual::default());
+    let (lengths, usual) = (AnswerLengths::default(), TypicalRequest::default());
     let gives = |hint: u64, prompt: u64| usual.gives(&lengths.expect(2_040, Some(hint)), prompt);
     let middle = gives(740, 3_200);
     assert!((0.9..1.15).contains(&middle), "{middle}");
@@ -275,23 +300,28 @@
     assert!(gives(740, 1_000) > gives(740, 6_000));
 }
 
-fn lend(engines: &Engines, need: &Need, read_ms: u64, servers: &[Server]) -> Option<ServerId> {
-    let view = View { engine: &spec(), read_at: after(read_ms), entries: 4 };
-    engines.lend(NOW, need, &view, servers.iter(), |_| Work::default(), || 0.5)
+fn lend(
+    engines: &EngineAdmission,
+    need: &Demand,
+    read_ms: u64,
+    servers: &[Server],
+) -> Option<ServerId> {
+    let view = AdmissionContext { engine: &spec(), read_at: after(read_ms), entries: 4 };
+    engines.grant(NOW, need, &view, servers.iter(), |_| EngineLoad::default(), || 0.5)
 }
 
 /// An answer that may outgrow an engine's memory is admitted where nothing else runs.
 #[test]
 fn an_idle_engine_takes_what_it_can_hold() {
     let servers = servers(1);
-    let mut engines = Engines::default();
+    let mut engines = EngineAdmission::default();
     let growth = AnswerLengths::default().expect(20_000, None);
-    let long = Need { memory: growth.profile(15_000, 0), ..need() };
+    let long = Demand { memory: growth.memory_forecast(15_000, 0), ..need() };
     assert!(long.memory.room(spec().tokens, MARGIN_SIGMAS) < 0);
     let ticket = engines.join(NOW, long, after(100));
-    assert_eq!(advise(&engines, NOW, ticket, &servers), Advice::Ask(id(0)));
-    engines.placed(&id(0), Profile::constant(1_000));
-    assert!(!matches!(advise(&engines, NOW, ticket, &servers), Advice::Ask(_)));
+    assert_eq!(advise(&engines, NOW, ticket, &servers), AdmissionDecision::Ask(id(0)));
+    engines.on_reserved(&id(0), MemoryForecast::constant(1_000));
+    assert!(!matches!(advise(&engines, NOW, ticket, &servers), AdmissionDecision::Ask(_)));
 }
 
 /// A request that overflows from another zone is admitted where no local request waits for the
@@ -299,14 +329,14 @@
 #[test]
 fn memory_is_granted_to_other_zones_while_no_local_request_waits() {
     let servers = servers(2);
-    let mut engines = Engines::default();
+    let mut engines = EngineAdmission::default();
     assert!(lend(&engines, &need(), 100, &servers).is_some());
     assert_eq!(lend(&engines, &need(), 800, &servers), None, "prefill would end too late");
     let ticket = engines.join(NOW, need(), after(100));
     assert_eq!(lend(&engines, &need(), 100, &servers), None, "a local request waits for it");
     engines.leave(ticket);
-    engines.placed(&id(0), Profile::constant(20_000));
-    engines.placed(&id(1), Profile::constant(17_000));
+    engines.on_reserved(&id(0), MemoryForecast::constant(20_000));
+    engines.on_reserved(&id(1), MemoryForecast::constant(17_000));
     assert_eq!(lend(&engines, &need(), 100, &servers), None, "no memory is free");
 }
 
@@ -314,24 +344,24 @@
 #[test]
 fn scarce_memory_is_not_granted_to_other_zones_below_the_threshold() {
     let servers = servers(1);
-    let mut engines = Engines::default();
-    engines.placed(&id(0), Profile::constant(19_300));
-    let small = Need { memory: Profile::constant(500), ..need() };
-    assert_eq!(lend(&engines, &Need { gives: 0.5, ..small }, 100, &servers), None);
-    assert!(lend(&engines, &Need { gives: THRESHOLD_MAX, ..small }, 100, &servers).is_some());
+    let mut engines = EngineAdmission::default();
+    engines.on_reserved(&id(0), MemoryForecast::constant(19_300));
+    let small = Demand { memory: MemoryForecast::constant(500), ..need() };
+    assert_eq!(lend(&engines, &Demand { value: 0.5, ..small }, 100, &servers), None);
+    assert!(lend(&engines, &Demand { value: THRESHOLD_MAX, ..small }, 100, &servers).is_some());
 }
 
 #[test]
 fn a_zone_is_short_without_free_memory_or_prefill_engine() {
     let servers = servers(1);
-    let mut engines = Engines::default();
-    let short = |engines: &Engines, read_ms: u64| {
-        let view = View { engine: &spec(), read_at: after(read_ms), entries: 4 };
-        engines.is_short(NOW, &need(), &view, servers.iter(), |_| Work::default())
+    let mut engines = EngineAdmission::default();
+    let short = |engines: &EngineAdmission, read_ms: u64| {
+        let view = AdmissionContext { engine: &spec(), read_at: after(read_ms), entries: 4 };
+        engines.is_short(NOW, &need(), &view, servers.iter(), |_| EngineLoad::default())
     };
     assert!(!short(&engines, 100));
     assert!(short(&engines, 800), "no prefill engine in time");
-    engines.placed(&id(0), Profile::constant(17_000));
+    engines.on_reserved(&id(0), MemoryForecast::constant(17_000));
     assert!(short(&engines, 100), "no free memory");
 }
 
@@ -340,15 +370,17 @@
 fn capacity_is_counted_by_engine() {
     let servers = servers(3);
     let servers: Vec<&Server> = servers.iter().collect();
-    let mut engines = Engines::default();
-    let places = |engines: &Engines| {
-        engines.places(NOW, &servers, &spec(), Profile::constant(4_000), |_| Work::default())
+    let mut engines = EngineAdmission::default();
+    let places = |engines: &EngineAdmission| {
+        engines.free_capacity(NOW, &servers, &spec(), MemoryForecast::constant(4_000), |_| {
+            EngineLoad::default()
+        })
     };
     assert_eq!(places(&engines), 15);
     for i in 0..3 {
-        engines.placed(&id(i), Profile::constant(17_000));
+        engines.on_reserved(&id(i), MemoryForecast::constant(17_000));
     }
     assert_eq!(places(&engines), 0);
-    engines.freed(NOW, &id(0), Profile::constant(17_000), true);
+    engines.on_released(NOW, &id(0), MemoryForecast::constant(17_000), true);
     assert_eq!(places(&engines), 5);
 }
--- a/crates/router/tests/load/world.rs
+++ b/crates/router/tests/load/world.rs
@@ -8,12 +8,14 @@
 
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Engine, Server, ServerId, Stage};
-use ebonyloft_router::engines::{Advice, Engines, FIRST_EVENT, Need, Ticket, View};
-use ebonyloft_router::forecast::Profile;
-use ebonyloft_router::growth::{AnswerLengths, FIXED_VALUE, OUTPUT_TOKEN_WEIGHT, Usual};
-use ebonyloft_router::prefill::{self, Choice, Paces};
-use ebonyloft_router::reading::{INITIAL_RATE, Reading};
-use ebonyloft_router::share::{Share, Shares};
+use ebonyloft_router::engines::{
+    AdmissionContext, AdmissionDecision, Demand, EngineAdmission, FIRST_EVENT, Ticket,
+};
+use ebonyloft_router::forecast::MemoryForecast;
+use ebonyloft_router::growth::{AnswerLengths, FIXED_VALUE, OUTPUT_TOKEN_WEIGHT, TypicalRequest};
+use ebonyloft_router::prefill::{self, ChoiceContext, SpeedFactors};
+use ebonyloft_router::reading::{INITIAL_RATE, PrefillSpeed};
+use ebonyloft_router::share::{LoadReport, LoadReports};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -33,8 +35,8 @@
 const OUTPUT_MAX: u64 = 2_040;
 
 /// Memory counted for an answer without an estimate of its length.
-fn reserve(prompt: u64) -> Profile {
-    AnswerLengths::default().expect(OUTPUT_MAX, None).profile(prompt, 0)
+fn reserve(prompt: u64) -> MemoryForecast {
+    AnswerLengths::default().expect(OUTPUT_MAX, None).memory_forecast(prompt, 0)
 }
 
 /// Parameters of a run.
@@ -115,8 +117,8 @@
 }
 
 struct Entry {
-    engines: Engines,
-    shares: Shares,
+    engines: EngineAdmission,
+    shares: LoadReports,
 }
 
 /// The simulation.
@@ -149,7 +151,8 @@
     fn new(plan: Plan) -> Self {
         let stage = |i| if i < plan.prefill_engines { Stage::Prefill } else { Stage::Decode };
         let server = |i| server(i, 24, Some(stage(i)));
-        let entry = |_| Entry { engines: Engines::default(), shares: Shares::default() };
+        let entry =
+            |_| Entry { engines: EngineAdmission::default(), shares: LoadReports::default() };
         Simulation {
             plan,
             load: ChaCha8Rng::seed_from_u64(plan.seed),
@@ -197,7 +200,8 @@
         let (_, read_at) = self.prefill_engine(entry, prompt);
         let first_by = self.now.after(GOAL);
         let ends_at = self.now.after(Duration::from_secs(14));
-        let need = Need { memory: reserve(prompt), first_by, ends_at, gives, begun: false };
+        let need =
+            Demand { memory: reserve(prompt), first_by, ends_at, value: gives, begun: false };
         let ticket = self.entries[entry].engines.join(self.now, need, read_at);
         let state = State::Waiting(ticket);
         self.outcome.asked += 1;
@@ -221,7 +225,8 @@
         if !self.plan.threshold {
             return f64::INFINITY;
         }
-        Usual::default().gives(&AnswerLengths::default().expect(OUTPUT_MAX, Some(hint)), prompt)
+        TypicalRequest::default()
+            .gives(&AnswerLengths::default().expect(OUTPUT_MAX, Some(hint)), prompt)
     }
 
     /// Returns the prefill engine that would finish first, and when, as far as this gateway knows.
@@ -229,11 +234,12 @@
         let lost = self.plan.lose_engine && self.seconds() > 5.0;
         let prefill_engines = &self.servers[usize::from(lost)..self.plan.prefill_engines];
         let e = &self.entries[entry];
-        let work = |id: &ServerId| e.engines.own(id).plus(e.shares.work(self.now, id));
+        let work = |id: &ServerId| e.engines.own_load(id).plus(e.shares.work(self.now, id));
         let rng = &mut self.rng;
-        let paces = Paces::default();
-        let reading = Reading::default();
-        let choice = Choice { paces: &paces, reading: &reading, prompt, zone: "z", entries: 4 };
+        let paces = SpeedFactors::default();
+        let reading = PrefillSpeed::default();
+        let choice =
+            ChoiceContext { paces: &paces, reading: &reading, prompt, zone: "z", entries: 4 };
         let picked =
             prefill::pick(self.now, prefill_engines.iter(), work, &choice, || rng.random());
         let (server, at) = picked.unwrap_or((&prefill_engines[0], self.now.after(CALLER_TIMEOUT)));
@@ -266,26 +272,26 @@
         let e = &self.entries[entry];
         let work = |id: &ServerId| e.shares.work(self.now, id);
         let decode_engines = self.servers[self.plan.prefill_engines..].iter();
-        let view = View { engine: &self.spec, read_at, entries: 4 };
+        let view = AdmissionContext { engine: &self.spec, read_at, entries: 4 };
         let advice = e.engines.advise(self.now, ticket, &view, decode_engines, work, || draw);
         match advice {
-            Advice::Ask(id) => {
+            AdmissionDecision::Ask(id) => {
                 let decode_engine = self.index(&id);
                 self.take(i, ticket, decode_engine, prefill_engine);
             }
-            Advice::Wait(_) => {}
-            Advice::Refuse(..) if self.plan.predict => {
+            AdmissionDecision::Wait(_) => {}
+            AdmissionDecision::Refuse(..) if self.plan.predict => {
                 self.entries[entry].engines.leave(ticket);
                 self.outcome.refused += 1;
                 self.outcome.longest_wait = self.outcome.longest_wait.max(self.now.since(arrived));
                 self.requests[i].state = State::Done;
             }
-            Advice::Refuse(..) if self.now.since(arrived) > CALLER_TIMEOUT => {
+            AdmissionDecision::Refuse(..) if self.now.since(arrived) > CALLER_TIMEOUT => {
                 self.entries[entry].engines.leave(ticket);
                 self.outcome.left += 1;
                 self.requests[i].state = State::Done;
             }
-            Advice::Refuse(..) => {}
+            AdmissionDecision::Refuse(..) => {}
         }
     }
 
@@ -305,7 +311,7 @@
         let (entry, prompt) = (self.requests[i].entry, self.requests[i].prompt);
         let now = self.now;
         if used + need.reserved() > self.spec.tokens {
-            self.entries[entry].engines.full(now, &id);
+            self.entries[entry].engines.on_full(now, &id);
             return;
         }
         let begin = self.free_at.get(&prefill_engine).copied().unwrap_or(now).max(now);
@@ -314,7 +320,7 @@
         let prefill_id = self.servers[prefill_engine].id.clone();
         let e = &mut self.entries[entry].engines;
         e.leave(ticket);
-        e.placed(&id, need);
+        e.on_reserved(&id, need);
         e.reading(&prefill_id, prompt);
         self.requests[i].decode_engine = decode_engine;
         self.requests[i].state = State::Prefill { engine: prefill_engine, until };
@@ -349,19 +355,19 @@
         r.state = State::Done;
         let id = self.servers[r.decode_engine].id.clone();
         let tokens = reserve(r.prompt);
-        self.entries[r.entry].engines.freed(self.now, &id, tokens, whole);
+        self.entries[r.entry].engines.on_released(self.now, &id, tokens, whole);
     }
 
     fn exchange_reports(&mut self) {
-        let shares: Vec<Share> = self
+        let shares: Vec<LoadReport> = self
             .entries
             .iter()
             .enumerate()
-            .map(|(i, e)| Share {
+            .map(|(i, e)| LoadReport {
                 name: format!("e{i}"),
                 seq: self.steps,
                 work: e.engines.work(),
-                ..Share::default()
+                ..LoadReport::default()
             })
             .collect();
         for (i, e) in self.entries.iter_mut().enumerate() {
--- a/crates/router/tests/losses.rs
+++ b/crates/router/tests/losses.rs
@@ -4,7 +4,7 @@
 
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Server, ServerId};
-use ebonyloft_router::drift::Drift;
+use ebonyloft_router::drift::DivergenceDetector;
 use ebonyloft_router::lost_attempts::{
     CALL_PROBE_DELAY, INVESTIGATION_TIMEOUT, LostAttempt, LostAttempts, PROBE_INTERVAL,
     ProbeResult, STREAM_PROBE_DELAY,
@@ -157,27 +157,27 @@
 
 #[test]
 fn state_is_exchanged_with_a_peer_that_differs_for_long() {
-    let (mut drift, step) = (Drift::default(), Duration::from_millis(100));
+    let (mut drift, step) = (DivergenceDetector::default(), Duration::from_millis(100));
     let at = |n: u32| NOW.after(step * n);
-    assert!(!drift.hear(at(0), "a", false));
-    assert!(!drift.hear(at(3), "a", false));
-    assert!(!drift.hear(at(4), "a", true), "the update in flight arrived");
-    assert!(!drift.hear(at(5), "a", false));
-    assert!(!drift.hear(at(5), "b", false));
-    assert!(drift.hear(at(10), "a", false));
-    assert!(!drift.hear(at(10), "b", false), "one exchange at a time");
-    assert!(drift.hear(at(15), "b", false));
+    assert!(!drift.observe(at(0), "a", false));
+    assert!(!drift.observe(at(3), "a", false));
+    assert!(!drift.observe(at(4), "a", true), "the update in flight arrived");
+    assert!(!drift.observe(at(5), "a", false));
+    assert!(!drift.observe(at(5), "b", false));
+    assert!(drift.observe(at(10), "a", false));
+    assert!(!drift.observe(at(10), "b", false), "one exchange at a time");
+    assert!(drift.observe(at(15), "b", false));
 }
 
 /// Half of the gateways know a fact and the other half does not: agreement with some peers must not hide the
 /// difference to others.
 #[test]
 fn agreeing_peers_do_not_hide_a_difference() {
-    let (mut drift, step) = (Drift::default(), Duration::from_millis(100));
+    let (mut drift, step) = (DivergenceDetector::default(), Duration::from_millis(100));
     let mut exchanged = false;
     for n in 0..10 {
-        exchanged |= drift.hear(NOW.after(step * n), "other", false);
-        drift.hear(NOW.after(step * n), "same", true);
+        exchanged |= drift.observe(NOW.after(step * n), "other", false);
+        drift.observe(NOW.after(step * n), "same", true);
     }
     assert!(exchanged);
 }
--- a/crates/router/tests/memory.rs
+++ b/crates/router/tests/memory.rs
@@ -9,10 +9,10 @@
 
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Server, ServerId, Stage};
-use ebonyloft_router::engines::{Advice, Engines, Need, View};
-use ebonyloft_router::forecast::{MARGIN_SIGMAS, POINTS, Profile};
-use ebonyloft_router::growth::{AnswerLengths, Growth};
-use ebonyloft_router::share::Work;
+use ebonyloft_router::engines::{AdmissionContext, AdmissionDecision, Demand, EngineAdmission};
+use ebonyloft_router::forecast::{MARGIN_SIGMAS, MemoryForecast, POINTS};
+use ebonyloft_router::growth::{AnswerLengths, LengthForecast};
+use ebonyloft_router::share::EngineLoad;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -74,8 +74,8 @@
     length: f64,
     generated: f64,
     hint: u64,
-    growth: Growth,
-    memory: Profile,
+    growth: LengthForecast,
+    memory: MemoryForecast,
     was_preempted: bool,
 }
 
@@ -84,10 +84,10 @@
         self.prompt + self.generated as u64
     }
 
-    fn counted(&self, policy: Policy) -> Profile {
+    fn counted(&self, policy: Policy) -> MemoryForecast {
         match policy {
-            Policy::Fixed => Profile::constant(self.used() + 500),
-            Policy::Forecast => self.growth.profile(self.prompt, self.generated as u64),
+            Policy::Fixed => MemoryForecast::constant(self.used() + 500),
+            Policy::Forecast => self.growth.memory_forecast(self.prompt, self.generated as u64),
         }
     }
 }
@@ -104,7 +104,7 @@
     customer: Customer,
     policy: Policy,
     rng: ChaCha8Rng,
-    engines: Engines,
+    engines: EngineAdmission,
     servers: Vec<Server>,
     lengths: AnswerLengths,
     answers: Vec<Answer>,
@@ -117,7 +117,7 @@
             customer,
             policy,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            engines: Engines::default(),
+            engines: EngineAdmission::default(),
             servers: (0..ENGINES).map(|i| server(i, 64, Some(Stage::Decode))).collect(),
             lengths: AnswerLengths::default(),
             answers: Vec::new(),
@@ -134,7 +134,7 @@
         for a in &mut self.answers {
             a.generated += tokens;
             let after = a.counted(self.policy);
-            self.engines.grown(&self.servers[a.engine].id, a.memory, after);
+            self.engines.update_forecast(&self.servers[a.engine].id, a.memory, after);
             a.memory = after;
         }
         self.end(now, counts);
@@ -154,32 +154,32 @@
             generated: 0.0,
             hint,
             growth,
-            memory: Profile::default(),
+            memory: MemoryForecast::default(),
             was_preempted: false,
         };
         answer.memory = answer.counted(self.policy);
         self.outcome.asked += u32::from(counts);
-        let need = Need {
+        let need = Demand {
             memory: answer.memory,
             first_by: now.after(Duration::from_millis(900)),
-            gives: f64::INFINITY,
+            value: f64::INFINITY,
             ends_at: now.after(Duration::from_secs(14)),
             begun: false,
         };
         let ticket = self.engines.join(now, need, now);
         let spec = engine(64, self.customer.memory);
-        let view = View { engine: &spec, read_at: now, entries: 1 };
+        let view = AdmissionContext { engine: &spec, read_at: now, entries: 1 };
         let rng = &mut self.rng;
-        let none = |_: &ServerId| Work::default();
+        let none = |_: &ServerId| EngineLoad::default();
         let advice =
             self.engines.advise(now, ticket, &view, self.servers.iter(), none, || rng.random());
         self.engines.leave(ticket);
-        let Advice::Ask(id) = advice else {
+        let AdmissionDecision::Ask(id) = advice else {
             self.outcome.refused += u32::from(counts);
             return;
         };
         answer.engine = self.servers.iter().position(|s| s.id == id).expect("the engine is listed");
-        self.engines.placed(&id, answer.memory);
+        self.engines.on_reserved(&id, answer.memory);
         self.answers.push(answer);
     }
 
@@ -188,7 +188,7 @@
             self.answers.drain(..).partition(|a| a.generated >= a.length);
         self.answers = running;
         for a in ended {
-            self.engines.freed(now, &self.servers[a.engine].id, a.memory, true);
+            self.engines.on_released(now, &self.servers[a.engine].id, a.memory, true);
             self.lengths.observe(self.customer.most, Some(a.hint), a.length as u64);
             self.outcome.complete += u32::from(counts && !a.was_preempted);
         }
@@ -297,15 +297,15 @@
 #[test]
 fn a_forecast_leaves_out_answers_that_will_have_ended() {
     let growth = AnswerLengths::default().expect(2_040, Some(700));
-    let new = growth.profile(3_200, 0);
+    let new = growth.memory_forecast(3_200, 0);
     assert_eq!(new.now(), 3_200);
     assert!(new.peak() > 3_400 && new.peak() < 3_200 + 2_040, "{new:?}");
     // Answers that have reached the longest output no longer count.
-    let alone = Profile::constant(0).plus(new);
+    let alone = MemoryForecast::constant(0).plus(new);
     assert!(alone.room(10_000, 0.0) > alone.room(10_000, MARGIN_SIGMAS));
-    assert_eq!(new.minus(new), Profile::default());
+    assert_eq!(new.minus(new), MemoryForecast::default());
     // An answer that is long overdue is expected to end soon, but still counts now.
-    let overdue = growth.profile(3_200, 2_000);
+    let overdue = growth.memory_forecast(3_200, 2_000);
     assert_eq!(overdue.now(), 5_200);
     assert!(overdue.peak() <= 5_200 + POINTS[1], "{overdue:?}");
 }
--- a/crates/router/tests/prefill.rs
+++ b/crates/router/tests/prefill.rs
@@ -7,9 +7,9 @@
 
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Server, ServerId, Stage};
-use ebonyloft_router::prefill::{CROSS_ZONE_PENALTY, Choice, Paces, pick};
-use ebonyloft_router::reading::{INITIAL_RATE, Reading};
-use ebonyloft_router::share::Work;
+use ebonyloft_router::prefill::{CROSS_ZONE_PENALTY, ChoiceContext, SpeedFactors, pick};
+use ebonyloft_router::reading::{INITIAL_RATE, PrefillSpeed};
+use ebonyloft_router::share::EngineLoad;
 
 use self::fleet::server;
 
@@ -27,12 +27,13 @@
 fn chosen_zone(queued: u64, entries: usize) -> String {
     let prefill_engines = prefill_engines();
     let work = |id: &ServerId| match prefill_engines.iter().any(|s| s.id == *id && s.zone == "z0") {
-        true => Work { unread: queued, reads: 1, ..Work::default() },
-        false => Work::default(),
+        true => EngineLoad { unread: queued, reads: 1, ..EngineLoad::default() },
+        false => EngineLoad::default(),
     };
-    let paces = Paces::default();
-    let reading = Reading::default();
-    let choice = Choice { paces: &paces, reading: &reading, prompt: 3_200, zone: "z0", entries };
+    let paces = SpeedFactors::default();
+    let reading = PrefillSpeed::default();
+    let choice =
+        ChoiceContext { paces: &paces, reading: &reading, prompt: 3_200, zone: "z0", entries };
     let mut drawn = 0;
     let draw = || {
         drawn += 1;
--- a/crates/router/tests/pulls.rs
+++ b/crates/router/tests/pulls.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ebonyloft_core::time::Timestamp;
-use ebonyloft_router::pulls::{Part, Pulls, Versions};
+use ebonyloft_router::pulls::{FetchKind, Fetches, Versions};
 
 fn at(ms: u64) -> Timestamp {
     Timestamp::default().after(Duration::from_millis(ms))
@@ -16,61 +16,63 @@
 
 #[test]
 fn lists_are_fetched_while_a_configuration_is_being_fetched() {
-    let mut pulls = Pulls::default();
-    assert!(pulls.begin(at(0), Part::Config, peer(1)));
-    assert!(pulls.begin(at(1), Part::Lists, peer(1)));
-    pulls.end(at(5), Part::Lists, true);
-    assert!(pulls.begin(at(300), Part::Lists, peer(1)));
+    let mut pulls = Fetches::default();
+    assert!(pulls.begin(at(0), FetchKind::Config, peer(1)));
+    assert!(pulls.begin(at(1), FetchKind::Lists, peer(1)));
+    pulls.end(at(5), FetchKind::Lists, true);
+    assert!(pulls.begin(at(300), FetchKind::Lists, peer(1)));
 }
 
 #[test]
 fn a_configuration_comes_from_one_peer_at_a_time() {
-    let mut pulls = Pulls::default();
-    assert!(pulls.begin(at(0), Part::Config, peer(1)));
+    let mut pulls = Fetches::default();
+    assert!(pulls.begin(at(0), FetchKind::Config, peer(1)));
     for n in 2..10 {
-        assert!(!pulls.begin(at(2_000), Part::Config, peer(n)));
+        assert!(!pulls.begin(at(2_000), FetchKind::Config, peer(n)));
     }
-    pulls.end(at(2_500), Part::Config, true);
-    assert!(pulls.begin(at(2_501), Part::Config, peer(2)));
+    pulls.end(at(2_500), FetchKind::Config, true);
+    assert!(pulls.begin(at(2_501), FetchKind::Config, peer(2)));
 }
 
 #[test]
 fn a_peer_is_asked_again_after_a_while() {
-    let mut pulls = Pulls::default();
-    assert!(pulls.begin(at(0), Part::Lists, peer(1)));
-    pulls.end(at(5), Part::Lists, true);
-    assert!(!pulls.begin(at(100), Part::Lists, peer(1)));
-    assert!(pulls.begin(at(100), Part::Lists, peer(2)));
-    pulls.end(at(105), Part::Lists, true);
-    assert!(pulls.begin(at(151), Part::Lists, peer(1)));
+    let mut pulls = Fetches::default();
+    assert!(pulls.begin(at(0), FetchKind::Lists, peer(1)));
+    pulls.end(at(5), FetchKind::Lists, true);
+    assert!(!pulls.begin(at(100), FetchKind::Lists, peer(1)));
+    assert!(pulls.begin(at(100), FetchKind::Lists, peer(2)));
+    pulls.end(at(105), FetchKind::Lists, true);
+    assert!(pulls.begin(at(151), FetchKind::Lists, peer(1)));
 }
 
 /// After a peer had nothing newer another one is asked, but not dozens within a moment.
 #[test]
 fn a_peer_with_nothing_newer_is_followed_by_a_backoff() {
-    let mut pulls = Pulls::default();
-    assert!(pulls.begin(at(0), Part::Config, peer(1)));
-    pulls.end(at(2), Part::Config, false);
-    assert!(!pulls.begin(at(10), Part::Config, peer(2)));
-    assert!(pulls.begin(at(52), Part::Config, peer(2)));
+    let mut pulls = Fetches::default();
+    assert!(pulls.begin(at(0), FetchKind::Config, peer(1)));
+    pulls.end(at(2), FetchKind::Config, false);
+    assert!(!pulls.begin(at(10), FetchKind::Config, peer(2)));
+    assert!(pulls.begin(at(52), FetchKind::Config, peer(2)));
 }
 
 #[test]
 fn a_call_requests_one_kind_only() {
     let own = Versions { config: 3, roster: 40, fleet: 7 };
     let theirs = Versions { config: 4, roster: 41, fleet: 7 };
-    for (part, other) in [(Part::Config, Part::Lists), (Part::Lists, Part::Config)] {
-        assert!(own.lacks(part, theirs));
-        assert!(own.asking(part).lacks(part, theirs));
-        assert!(!own.asking(part).lacks(other, theirs));
+    for (part, other) in
+        [(FetchKind::Config, FetchKind::Lists), (FetchKind::Lists, FetchKind::Config)]
+    {
+        assert!(own.is_older(part, theirs));
+        assert!(own.asking(part).is_older(part, theirs));
+        assert!(!own.asking(part).is_older(other, theirs));
     }
-    assert!(!theirs.lacks(Part::Lists, own));
+    assert!(!theirs.is_older(FetchKind::Lists, own));
 }
 
 /// A gateway that reaches the store waits half a second for its own update, not until a watch ends.
 #[test]
 fn a_gateway_that_stays_behind_its_peers_fetches_from_them() {
-    let mut pulls = Pulls::default();
+    let mut pulls = Fetches::default();
     let own = Versions { config: 3, roster: 40, fleet: 7 };
     let theirs = Versions { roster: 41, ..own };
     assert!(!pulls.is_behind(at(0), own, own));
--- a/crates/router/tests/reading.rs
+++ b/crates/router/tests/reading.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use ebonyloft_router::reading::{INITIAL_RATE, Reading, SAMPLES_MIN};
-use ebonyloft_router::share::Work;
+use ebonyloft_router::reading::{INITIAL_RATE, PrefillSpeed, SAMPLES_MIN};
+use ebonyloft_router::share::EngineLoad;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -13,7 +13,7 @@
 /// Observes `count` prompts. Every `slow`th is processed by an engine that is five times as slow,
 /// and some load reports of queues arrive late.
 fn observe_prompts(
-    reading: &mut Reading,
+    reading: &mut PrefillSpeed,
     (rate, overhead): (f64, f64),
     count: usize,
     slow: usize,
@@ -27,14 +27,18 @@
         let remaining = rng.random::<f64>() * queue as f64;
         let slowdown = if i % slow == slow - 1 { 5.0 } else { 1.0 };
         let took = (prompt as f64 + remaining) / rate * slowdown + overhead;
-        let work = Work { unread: reported, reads: u32::from(reported > 0), ..Work::default() };
+        let work = EngineLoad {
+            unread: reported,
+            reads: u32::from(reported > 0),
+            ..EngineLoad::default()
+        };
         reading.observe(work, prompt, Duration::from_secs_f64(took));
     }
 }
 
-fn assert_near(reading: &Reading, (rate, overhead): (f64, f64)) {
+fn assert_near(reading: &PrefillSpeed, (rate, overhead): (f64, f64)) {
     assert!((reading.rate() / rate - 1.0).abs() < 0.15, "{} of {rate}", reading.rate());
-    let long = reading.time(Work::default(), 5_000).as_secs_f64();
+    let long = reading.time(EngineLoad::default(), 5_000).as_secs_f64();
     let expected = 5_000.0 / rate + overhead;
     assert!((long / expected - 1.0).abs() < 0.15, "{long} of {expected}");
 }
@@ -44,7 +48,7 @@
 fn it_converges_for_three_very_different_engines() {
     for engines in ENGINES {
         for seed in 0..20 {
-            let mut reading = Reading::default();
+            let mut reading = PrefillSpeed::default();
             observe_prompts(&mut reading, engines, 36, usize::MAX, seed);
             assert_near(&reading, engines);
         }
@@ -54,7 +58,7 @@
 #[test]
 fn one_slow_engine_in_five_changes_it_little() {
     for engines in ENGINES {
-        let mut reading = Reading::default();
+        let mut reading = PrefillSpeed::default();
         observe_prompts(&mut reading, engines, 64, 5, 1);
         let ratio = reading.rate() / engines.0;
         assert!((0.7..1.15).contains(&ratio), "{ratio}");
@@ -63,7 +67,7 @@
 
 #[test]
 fn the_guess_is_replaced_and_a_change_is_learned() {
-    let mut reading = Reading::default();
+    let mut reading = PrefillSpeed::default();
     observe_prompts(&mut reading, ENGINES[2], SAMPLES_MIN - 1, usize::MAX, 3);
     assert_eq!(reading.rate(), INITIAL_RATE);
     observe_prompts(&mut reading, ENGINES[2], 64, usize::MAX, 4);
@@ -75,19 +79,19 @@
 /// Prompts of equal length say nothing about the rate and must not change it.
 #[test]
 fn equal_prompts_keep_the_initial_guess() {
-    let mut reading = Reading::default();
+    let mut reading = PrefillSpeed::default();
     for _ in 0..60 {
-        reading.observe(Work::default(), 3_200, Duration::from_millis(200));
+        reading.observe(EngineLoad::default(), 3_200, Duration::from_millis(200));
     }
     assert_eq!(reading.rate(), INITIAL_RATE);
-    assert!(reading.time(Work::default(), 3_200) < Duration::from_millis(250));
+    assert!(reading.time(EngineLoad::default(), 3_200) < Duration::from_millis(250));
 }
 
 /// Eight samples of which half met an unknown queue, so that short prompts take longer than long
 /// ones.
 #[test]
 fn a_few_disturbed_samples_do_not_change_the_rate() {
-    let mut reading = Reading::default();
+    let mut reading = PrefillSpeed::default();
     let reads = [
         (1_500, 260),
         (5_000, 185),
@@ -99,7 +103,7 @@
         (2_500, 109),
     ];
     for (prompt, ms) in reads {
-        reading.observe(Work::default(), prompt, Duration::from_millis(ms));
+        reading.observe(EngineLoad::default(), prompt, Duration::from_millis(ms));
     }
     assert!((reading.rate() / INITIAL_RATE - 1.0).abs() < 0.25, "{}", reading.rate());
 }
--- a/crates/router/tests/recency.rs
+++ b/crates/router/tests/recency.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use ebonyloft_core::time::Timestamp;
-use ebonyloft_router::recency::{DEAF, Held, QUERY_FRACTION, QUERY_INTERVAL, Recency};
+use ebonyloft_router::recency::{
+    ConfigStaleness, QUERY_FRACTION, QUERY_INTERVAL, VersionAge, WATCH_LAG_MAX,
+};
 
 const REVOKE: Duration = Duration::from_millis(5_000);
 const BOUND: Option<Duration> = Some(REVOKE);
@@ -19,79 +21,79 @@
 
 #[test]
 fn nothing_is_confirmed_at_the_start() {
-    assert!(!Recency::default().holds(at(0), BOUND));
-    assert!(Recency::default().holds(at(0), None));
+    assert!(!ConfigStaleness::default().is_fresh(at(0), BOUND));
+    assert!(ConfigStaleness::default().is_fresh(at(0), None));
 }
 
 #[test]
 fn an_answer_is_valid_as_of_its_query() {
-    let mut recency = Recency::default();
+    let mut recency = ConfigStaleness::default();
     // A late answer says nothing about the time that it took to arrive.
     recency.confirm(at(0));
-    assert!(recency.holds(at(4_800), BOUND));
-    assert!(!recency.holds(at(5_000), BOUND));
+    assert!(recency.is_fresh(at(4_800), BOUND));
+    assert!(!recency.is_fresh(at(5_000), BOUND));
 }
 
 #[test]
 fn an_empty_watch_confirms_up_to_its_end_less_the_time_it_may_miss() {
-    let mut recency = Recency::default();
+    let mut recency = ConfigStaleness::default();
     recency.on_watch(at(2_100), at(0), ms(2_000), true);
-    assert_eq!(recency.confirmed_at(), at(2_000).before(DEAF));
+    assert_eq!(recency.confirmed_at(), at(2_000).before(WATCH_LAG_MAX));
 }
 
 #[test]
 fn a_watch_with_changes_or_cut_short_confirms_up_to_its_start() {
     for (now, empty) in [(1_500, false), (1_500, true)] {
-        let mut recency = Recency::default();
+        let mut recency = ConfigStaleness::default();
         recency.on_watch(at(now), at(0), ms(2_000), empty);
-        assert_eq!(recency.confirmed_at(), at(0).before(DEAF));
+        assert_eq!(recency.confirmed_at(), at(0).before(WATCH_LAG_MAX));
     }
 }
 
 #[test]
 fn the_age_grows_in_transit_between_peers() {
-    let mut recency = Recency::default();
+    let mut recency = ConfigStaleness::default();
     recency.confirm(at(0));
     assert!(recency.ask(at(3_000), REVOKE, 7));
     // The answer states two seconds and took another one to arrive; its age counts from the query.
-    recency.on_answer(7, 4, Held { version: 4, age: ms(2_000) });
+    recency.on_answer(7, 4, VersionAge { version: 4, age: ms(2_000) });
     assert_eq!(recency.age(at(4_000)), ms(3_000));
 }
 
 #[test]
 fn answers_without_a_query_are_ignored() {
-    let mut recency = Recency::default();
-    recency.on_answer(7, 4, Held { version: 4, age: ms(0) });
-    assert!(!recency.holds(at(0), BOUND));
+    let mut recency = ConfigStaleness::default();
+    recency.on_answer(7, 4, VersionAge { version: 4, age: ms(0) });
+    assert!(!recency.is_fresh(at(0), BOUND));
     // A duplicated answer counts from its query too.
     assert!(recency.ask(at(0), REVOKE, 8));
-    recency.on_answer(8, 4, Held { version: 4, age: ms(0) });
-    recency.on_answer(8, 4, Held { version: 4, age: ms(0) });
+    recency.on_answer(8, 4, VersionAge { version: 4, age: ms(0) });
+    recency.on_answer(8, 4, VersionAge { version: 4, age: ms(0) });
     assert_eq!(recency.confirmed_at(), at(0));
 }
 
 #[test]
 fn a_newer_version_at_a_peer_confirms_nothing_until_it_is_in_force() {
-    let mut recency = Recency::default();
+    let mut recency = ConfigStaleness::default();
     assert!(recency.ask(at(0), REVOKE, 7));
-    recency.on_answer(7, 4, Held { version: 6, age: ms(100) });
-    assert!(!recency.holds(at(100), BOUND));
+    recency.on_answer(7, 4, VersionAge { version: 6, age: ms(100) });
+    assert!(!recency.is_fresh(at(100), BOUND));
     recency.on_version(5);
-    assert!(!recency.holds(at(100), BOUND));
+    assert!(!recency.is_fresh(at(100), BOUND));
     recency.on_version(6);
     assert_eq!(recency.confirmed_at(), at(0).before(ms(100)));
 }
 
 #[test]
 fn an_older_version_at_a_peer_confirms_this_one() {
-    let mut recency = Recency::default();
-    recency.on_held(at(500), 6, Held { version: 5, age: ms(200) });
+    let mut recency = ConfigStaleness::default();
+    recency.on_held(at(500), 6, VersionAge { version: 5, age: ms(200) });
     assert_eq!(recency.confirmed_at(), at(300));
 }
 
 #[test]
 fn peers_are_queried_only_when_it_is_old_and_not_too_often() {
-    let mut recency = Recency::default();
+    let mut recency = ConfigStaleness::default();
     recency.confirm(at(0));
     assert!(!recency.ask(at(100), REVOKE, 1));
     let old = at(0).after(REVOKE.mul_f64(QUERY_FRACTION));
--- a/crates/router/tests/returns.rs
+++ b/crates/router/tests/returns.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ebonyloft_core::time::Timestamp;
-use ebonyloft_router::engines::{RETRY_MAX, come_back};
+use ebonyloft_router::engines::{RETRY_MAX, retry_after};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -68,10 +68,10 @@
 fn callers_retry_as_late_as_they_can() {
     for (left, draw) in [(14_000, 0.0), (14_000, 1.0), (11_900, 1.0), (1_500, 0.5)] {
         let left = Duration::from_millis(left);
-        let asked = come_back(START, START.after(left), draw).since(START);
+        let asked = retry_after(START, START.after(left), draw).since(START);
         assert!(asked <= left / 3 && asked >= left / 4, "{left:?} {asked:?}");
     }
-    let long = come_back(START, START.after(Duration::from_secs(60)), 1.0);
+    let long = retry_after(START, START.after(Duration::from_secs(60)), 1.0);
     assert_eq!(long, START.after(RETRY_MAX));
 }
 
@@ -84,7 +84,7 @@
     };
     let (soon, fixed) = (within(0.5, 1.5), within(3.2, 4.6));
     let late =
-        refused_again_share(|left, draw| come_back(START, START.after(left), draw).since(START));
+        refused_again_share(|left, draw| retry_after(START, START.after(left), draw).since(START));
     assert!(late < soon - 0.1, "{soon} {late}");
     assert!(late < fixed + 0.03, "{fixed} {late}");
 }
