--- a/crates/router/tests/roster.rs
+++ b/crates/router/tests/roster.rs
@@ -3,8 +3,8 @@
 
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Server, ServerId, Stage};
-use ebonyloft_router::freshness::{Freshness, REREGISTRATION_TIME};
-use ebonyloft_router::roster::{Change, Effect, Entry, Roster};
+use ebonyloft_router::freshness::{REREGISTRATION_TIME, StoreState};
+use ebonyloft_router::roster::{Change, Effect, Registration, ServerRegistry};
 use proptest::prelude::*;
 
 fn name(n: u32) -> String {
@@ -28,85 +28,85 @@
 }
 
 fn registered(n: u32, revision: u64) -> Change {
-    Change { name: name(n), entry: Entry::Server(server(n, false)), revision }
+    Change { name: name(n), entry: Registration::Server(server(n, false)), revision }
 }
 
 fn leaving(n: u32, revision: u64) -> Change {
-    Change { name: name(n), entry: Entry::Server(server(n, true)), revision }
+    Change { name: name(n), entry: Registration::Server(server(n, true)), revision }
 }
 
 fn removed(n: u32, revision: u64) -> Change {
-    Change { name: name(n), entry: Entry::Removed, revision }
+    Change { name: name(n), entry: Registration::Removed, revision }
 }
 
 /// An invalid entry written by another program.
 fn wrong(n: u32, revision: u64) -> Change {
-    Change { name: name(n), entry: Entry::Wrong, revision }
+    Change { name: name(n), entry: Registration::Wrong, revision }
 }
 
 /// A new incarnation under the same name.
 fn restarted(n: u32, revision: u64) -> Change {
     let server = Server { id: ServerId::new(name(n), 9), ..server(n, false) };
-    Change { name: name(n), entry: Entry::Server(server), revision }
+    Change { name: name(n), entry: Registration::Server(server), revision }
 }
 
-fn ready(roster: &Roster) -> usize {
+fn ready(roster: &ServerRegistry) -> usize {
     roster.ready("llm").count()
 }
 
 /// A server's own announcement outranks the store, which may be unreachable or behind.
 #[test]
 fn a_server_that_announced_leaving_gets_no_requests_whatever_the_store_says() {
-    let mut roster = Roster::default();
+    let mut roster = ServerRegistry::default();
     roster.apply(registered(1, 5), true);
     roster.apply(registered(2, 6), true);
-    assert!(roster.hear_leaving(&id(1)));
-    assert!(!roster.hear_leaving(&id(1)), "already known");
+    assert!(roster.on_leaving(&id(1)));
+    assert!(!roster.on_leaving(&id(1)), "already known");
     assert_eq!(ready(&roster), 1);
     assert!(roster.has_left(&name(1)));
-    assert_eq!(roster.said().collect::<Vec<_>>(), [&id(1)]);
+    assert_eq!(roster.announced_leaving().collect::<Vec<_>>(), [&id(1)]);
     // An older heartbeat, and a complete list.
     roster.apply(registered(1, 7), true);
     roster.replace(vec![registered(1, 8), registered(2, 8)], 9, true);
     assert_eq!(ready(&roster), 1);
     roster.apply(leaving(1, 10), true);
-    assert_eq!(roster.said().count(), 0, "the store reports it too");
+    assert_eq!(roster.announced_leaving().count(), 0, "the store reports it too");
     assert_eq!(ready(&roster), 1);
 }
 
 #[test]
 fn an_announcement_ends_with_its_incarnation() {
-    let mut roster = Roster::default();
+    let mut roster = ServerRegistry::default();
     roster.apply(registered(1, 5), true);
-    roster.hear_leaving(&id(1));
+    roster.on_leaving(&id(1));
     roster.apply(restarted(1, 6), true);
     assert_eq!(ready(&roster), 1);
     assert!(!roster.has_left(&name(1)));
     // The announcement of the old incarnation arrives late, from a peer.
-    roster.hear_leaving(&id(1));
+    roster.on_leaving(&id(1));
     assert_eq!(ready(&roster), 1);
     roster.apply(removed(1, 7), true);
-    assert!(!roster.hear_leaving(&id(1)), "the server is known to be gone");
+    assert!(!roster.on_leaving(&id(1)), "the server is known to be gone");
 }
 
 /// A peer may report that a server is leaving before the store reports the server.
 #[test]
 fn an_announcement_may_come_before_the_registration() {
-    let mut roster = Roster::default();
-    assert!(roster.hear_leaving(&id(1)));
+    let mut roster = ServerRegistry::default();
+    assert!(roster.on_leaving(&id(1)));
     assert!(roster.has_left(&name(1)));
-    assert_eq!(roster.said().count(), 0);
+    assert_eq!(roster.announced_leaving().count(), 0);
     roster.apply(registered(1, 5), true);
     assert_eq!(ready(&roster), 0);
     for n in 10..10_000 {
-        roster.hear_leaving(&id(n));
+        roster.on_leaving(&id(n));
     }
     assert!(roster.has_left(&name(1)), "kept for a registered server");
 }
 
 #[test]
 fn a_leaving_server_gets_no_requests_at_once() {
-    let mut roster = Roster::default();
+    let mut roster = ServerRegistry::default();
     assert_eq!(roster.apply(registered(1, 5), true), Effect::Joined);
     assert_eq!(roster.apply(leaving(1, 6), false), Effect::Leaving);
     assert_eq!(ready(&roster), 0);
@@ -116,7 +116,7 @@
 /// elsewhere.
 #[test]
 fn servers_that_left_are_known_by_name() {
-    let mut roster = Roster::default();
+    let mut roster = ServerRegistry::default();
     roster.replace(vec![registered(1, 1), leaving(2, 2), registered(3, 3)], 3, true);
     roster.apply(removed(3, 4), true);
     let left: Vec<bool> = (1..=4).map(|n| roster.has_left(&name(n))).collect();
@@ -127,7 +127,7 @@
 
 #[test]
 fn an_older_revision_is_ignored() {
-    let mut roster = Roster::default();
+    let mut roster = ServerRegistry::default();
     roster.apply(leaving(1, 6), true);
     assert_eq!(roster.apply(registered(1, 5), true), Effect::Stale);
     assert_eq!(ready(&roster), 0);
@@ -138,27 +138,27 @@
 
 #[test]
 fn a_server_that_vanishes_in_a_store_outage_is_kept_until_the_store_is_trusted() {
-    let mut roster = Roster::default();
+    let mut roster = ServerRegistry::default();
     roster.replace(vec![registered(1, 1), registered(2, 2)], 2, true);
     assert_eq!(roster.apply(removed(1, 3), false), Effect::Unheard);
     assert_eq!(ready(&roster), 2);
     // One server registers again, the other does not.
     roster.apply(removed(2, 4), false);
     assert_eq!(roster.apply(registered(2, 5), false), Effect::Changed);
-    assert_eq!(roster.settle(), vec![name(1)]);
+    assert_eq!(roster.remove_missing(), vec![name(1)]);
     assert_eq!(ready(&roster), 1);
 }
 
 #[test]
 fn a_leaving_server_is_removed_even_in_a_store_outage() {
-    let mut roster = Roster::default();
+    let mut roster = ServerRegistry::default();
     roster.apply(leaving(1, 1), true);
     assert_eq!(roster.apply(removed(1, 2), false), Effect::Gone);
 }
 
 #[test]
 fn a_new_list_removes_servers_that_are_not_in_it() {
-    let mut roster = Roster::default();
+    let mut roster = ServerRegistry::default();
     roster.replace(vec![registered(1, 1), registered(2, 2)], 2, true);
     let effects = roster.replace(vec![registered(2, 2), registered(3, 9)], 10, true);
     assert!(effects.contains(&(name(1), Effect::Gone)));
@@ -168,7 +168,7 @@
 
 #[test]
 fn a_list_does_not_remove_servers_that_registered_after_it() {
-    let mut roster = Roster::default();
+    let mut roster = ServerRegistry::default();
     roster.apply(registered(7, 20), true);
     roster.replace(vec![registered(1, 1)], 10, true);
     assert_eq!(ready(&roster), 2);
@@ -176,7 +176,7 @@
 
 #[test]
 fn a_new_incarnation_at_the_address_replaces_the_old_one() {
-    let mut roster = Roster::default();
+    let mut roster = ServerRegistry::default();
     roster.apply(registered(1, 1), true);
     assert!(roster.replaced(&id(1)));
     assert_eq!(roster.apply(registered(1, 1), true), Effect::Stale);
@@ -185,7 +185,7 @@
 
 #[test]
 fn a_new_incarnation_under_a_name_is_another_server() {
-    let mut roster = Roster::default();
+    let mut roster = ServerRegistry::default();
     roster.apply(registered(1, 1), true);
     assert_eq!(roster.apply(restarted(1, 2), true), Effect::Reborn);
     assert_eq!(roster.get(&id(1)), None);
@@ -198,18 +198,18 @@
 
 #[test]
 fn an_invalid_entry_does_not_affect_the_others() {
-    let mut roster = Roster::default();
+    let mut roster = ServerRegistry::default();
     roster.replace(vec![registered(1, 1), wrong(2, 2), registered(3, 3)], 3, true);
     assert_eq!(ready(&roster), 2);
     // A valid entry becomes invalid while the store is not trusted, and valid again.
     assert_eq!(roster.apply(wrong(1, 4), false), Effect::Wrong);
     assert_eq!(ready(&roster), 1);
-    assert!(roster.settle().is_empty());
+    assert!(roster.remove_missing().is_empty());
     assert_eq!(roster.apply(registered(1, 5), true), Effect::Joined);
     roster.replace(vec![registered(1, 5), wrong(3, 6)], 6, false);
     assert_eq!(ready(&roster), 1);
     // A gateway passes on what it uses, so the invalid entries are left out.
-    let mut peer = Roster::default();
+    let mut peer = ServerRegistry::default();
     peer.replace(vec![registered(1, 5), registered(3, 3)], 3, true);
     peer.replace(roster.changes(), roster.revision(), true);
     assert_eq!(ready(&peer), 1);
@@ -217,17 +217,17 @@
 
 #[test]
 fn the_store_is_trusted_some_time_after_its_return() {
-    let mut fresh = Freshness::default();
+    let mut fresh = StoreState::default();
     let start = Timestamp::from_millis(1_000);
     fresh.on_answer(start, start);
-    assert!(fresh.settled(start));
+    assert!(fresh.is_trusted(start));
     assert!(fresh.on_failure(Timestamp::from_millis(2_000)));
     assert!(!fresh.on_failure(Timestamp::from_millis(2_100)));
-    assert!(!fresh.settled(Timestamp::from_millis(60_000)));
+    assert!(!fresh.is_trusted(Timestamp::from_millis(60_000)));
     let back = Timestamp::from_millis(60_000);
     assert!(fresh.on_answer(back, back));
-    assert!(!fresh.settled(back));
-    assert!(fresh.settled(back.after(REREGISTRATION_TIME)));
+    assert!(!fresh.is_trusted(back));
+    assert!(fresh.is_trusted(back.after(REREGISTRATION_TIME)));
 }
 
 proptest! {
@@ -248,7 +248,7 @@
                 _ => removed(n, r),
             }
         };
-        let mut roster = Roster::default();
+        let mut roster = ServerRegistry::default();
         for r in order {
             roster.apply(change(r), true);
             if repeats[r as usize] {
@@ -258,8 +258,8 @@
         for n in 0..4_u32 {
             let last = (1..40).rev().find(|r| (r % 4) as u32 == n).expect("each server has a change");
             let want = match change(last).entry {
-                Entry::Server(server) => Some(server),
-                Entry::Removed | Entry::Wrong => None,
+                Registration::Server(server) => Some(server),
+                Registration::Removed | Registration::Wrong => None,
             };
             prop_assert_eq!(roster.named(&name(n)).cloned(), want);
         }
@@ -270,9 +270,9 @@
 /// registry.
 #[test]
 fn changes_since_a_revision_bring_another_gateway_up_to_date() {
-    let mut roster = Roster::default();
+    let mut roster = ServerRegistry::default();
     roster.replace(vec![registered(1, 1), registered(2, 2), registered(3, 3)], 3, true);
-    let mut peer = Roster::default();
+    let mut peer = ServerRegistry::default();
     assert_eq!(roster.since(0), None, "a gateway without a list takes the complete one");
     peer.replace(roster.changes(), roster.revision(), true);
     roster.apply(removed(1, 4), true);
@@ -291,7 +291,7 @@
 /// between are still to come, so they must not be reported as known.
 #[test]
 fn a_list_is_known_up_to_its_own_revision_only() {
-    let mut roster = Roster::default();
+    let mut roster = ServerRegistry::default();
     roster.replace(vec![registered(1, 1), registered(2, 9)], 5, true);
     assert_eq!(roster.revision(), 5);
     roster.apply(removed(1, 7), true);
@@ -302,15 +302,15 @@
 /// gateway decides for itself whether the server is gone.
 #[test]
 fn a_server_that_vanished_in_a_store_outage_is_passed_on_as_removed() {
-    let mut roster = Roster::default();
+    let mut roster = ServerRegistry::default();
     roster.replace(vec![registered(1, 1), registered(2, 2)], 2, true);
-    let mut peer = Roster::default();
+    let mut peer = ServerRegistry::default();
     peer.replace(roster.changes(), 2, true);
     assert_eq!(roster.apply(removed(1, 3), false), Effect::Unheard);
     peer.catch_up(roster.since(2).expect("remembered"), 3, false);
     assert_eq!(ready(&peer), 2);
     roster.apply(registered(1, 4), true);
     peer.catch_up(roster.since(3).expect("remembered"), 4, true);
-    assert!(peer.settle().is_empty());
+    assert!(peer.remove_missing().is_empty());
     assert_eq!(ready(&peer), 2);
 }
--- a/crates/router/tests/share.rs
+++ b/crates/router/tests/share.rs
@@ -5,8 +5,10 @@
 
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::ServerId;
-use ebonyloft_router::forecast::Profile;
-use ebonyloft_router::share::{LOAD_TIMEOUT, Share, Shares, TELL, Work, pause, sample_size};
+use ebonyloft_router::forecast::MemoryForecast;
+use ebonyloft_router::share::{
+    EngineLoad, LOAD_TIMEOUT, LoadReport, LoadReports, REPORT_INTERVAL, pause, sample_size,
+};
 use ebonyloft_router::varint;
 use proptest::prelude::*;
 
@@ -16,28 +18,28 @@
     ServerId::new("i-1", 0)
 }
 
-fn share(name: &str, life: u64, seq: u64, tokens: u64) -> Share {
-    let memory = Profile::constant(tokens);
-    let work = Work { memory, count: 1, ..Work::default() };
+fn share(name: &str, life: u64, seq: u64, tokens: u64) -> LoadReport {
+    let memory = MemoryForecast::constant(tokens);
+    let work = EngineLoad { memory, count: 1, ..EngineLoad::default() };
     let work = BTreeMap::from([(id().short_hash(), work)]);
-    Share { name: name.into(), life, seq, work, ..Share::default() }
+    LoadReport { name: name.into(), life, seq, work, ..LoadReport::default() }
 }
 
 #[test]
 fn the_load_of_all_peers_is_summed() {
-    let mut shares = Shares::default();
+    let mut shares = LoadReports::default();
     assert!(shares.hear(NOW, share("a", 1, 1, 100)));
     assert!(shares.hear(NOW, share("b", 1, 1, 30)));
     assert_eq!(
         shares.work(NOW, &id()),
-        Work { memory: Profile::constant(130), count: 2, ..Work::default() }
+        EngineLoad { memory: MemoryForecast::constant(130), count: 2, ..EngineLoad::default() }
     );
     assert_eq!(shares.live(NOW), 2);
 }
 
 #[test]
 fn an_outdated_datagram_is_ignored() {
-    let mut shares = Shares::default();
+    let mut shares = LoadReports::default();
     shares.hear(NOW, share("a", 1, 5, 100));
     assert!(!shares.hear(NOW, share("a", 1, 4, 999)));
     assert!(!shares.hear(NOW, share("a", 1, 5, 999)));
@@ -48,7 +50,7 @@
 
 #[test]
 fn the_load_of_a_silent_peer_is_dropped() {
-    let mut shares = Shares::default();
+    let mut shares = LoadReports::default();
     shares.hear(NOW, share("a", 1, 1, 100));
     assert_eq!(shares.work(NOW.after(LOAD_TIMEOUT), &id()).memory.now(), 0);
 }
@@ -56,7 +58,7 @@
 /// With hundreds of gateways a round takes seconds: their load must not be dropped in between.
 #[test]
 fn a_load_report_outlives_the_rounds_of_a_large_fleet() {
-    let mut shares = Shares::default();
+    let mut shares = LoadReports::default();
     for n in 0..410 {
         shares.hear(NOW, share(&format!("e{n}"), 1, 1, 10));
     }
@@ -67,10 +69,10 @@
 
 #[test]
 fn rounds_grow_with_the_fleet_only_beyond_a_size() {
-    assert_eq!(pause(4), TELL);
-    assert_eq!(pause(16), TELL);
-    assert_eq!(pause(32), TELL);
-    assert_eq!(pause(48), TELL * 2);
+    assert_eq!(pause(4), REPORT_INTERVAL);
+    assert_eq!(pause(16), REPORT_INTERVAL);
+    assert_eq!(pause(32), REPORT_INTERVAL);
+    assert_eq!(pause(48), REPORT_INTERVAL * 2);
     assert!(pause(409) > Duration::from_secs(2));
 }
 
@@ -84,16 +86,16 @@
 }
 
 /// Load of seven answers at one engine.
-fn busy() -> Work {
-    let answer = Profile::from_survival(
+fn busy() -> EngineLoad {
+    let answer = MemoryForecast::from_survival(
         |ahead| 5_200.0 + ahead as f64,
         |ahead| 1.0 / (1.0 + ahead as f64 / 900.0),
     );
-    let memory = (0..7).fold(Profile::default(), |sum, _| sum.plus(answer));
-    Work { memory, count: 7, unread: 10_400, reads: 2 }
+    let memory = (0..7).fold(MemoryForecast::default(), |sum, _| sum.plus(answer));
+    EngineLoad { memory, count: 7, unread: 10_400, reads: 2 }
 }
 
-fn round_trip(work: Work) -> (Work, usize) {
+fn round_trip(work: EngineLoad) -> (EngineLoad, usize) {
     let mut bytes = Vec::new();
     ciborium::into_writer(&work, &mut bytes).expect("encoded");
     (ciborium::from_reader(&bytes[..]).expect("decoded"), bytes.len())
@@ -115,7 +117,7 @@
     );
     assert!(decoded.memory.now().abs_diff(original.memory.now()) <= 16);
     assert!(decoded.memory.peak().abs_diff(original.memory.peak()) <= 16);
-    let room = |work: Work| work.memory.room(43_000, 2.4);
+    let room = |work: EngineLoad| work.memory.room(43_000, 2.4);
     assert!(
         room(decoded).abs_diff(room(original)) <= 16 + 77,
         "{} {}",
@@ -142,7 +144,7 @@
     fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..60)) {
         let mut cbor = Vec::new();
         ciborium::into_writer(&serde_bytes(&bytes), &mut cbor).expect("encoded");
-        let _ = ciborium::from_reader::<Work, _>(&cbor[..]);
+        let _ = ciborium::from_reader::<EngineLoad, _>(&cbor[..]);
     }
 }
 
--- a/crates/router/tests/stages.rs
+++ b/crates/router/tests/stages.rs
@@ -5,7 +5,7 @@
 
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Server, Stage};
-use ebonyloft_router::stages::{CHANGE_DELAY, Planner, Shape, View, wanted_prefill_engines};
+use ebonyloft_router::stages::{CHANGE_DELAY, PlanContext, Planner, Shape, wanted_prefill_engines};
 
 use self::fleet::{engine, server};
 
@@ -42,7 +42,7 @@
     let engine = engine(64, 103_424);
     let rate = 55_556.0;
     let groups = [servers];
-    let view = View { service: "llm", groups: &groups, engine: &engine, shape, rate };
+    let view = PlanContext { service: "llm", groups: &groups, engine: &engine, shape, rate };
     planner.next(at, &view).map(|(_, stage)| stage)
 }
 
@@ -88,7 +88,7 @@
     let engine = engine(64, 103_424);
     let rate = 1e6;
     let groups = [servers];
-    let view = View { service: "llm", groups: &groups, engine: &engine, shape: None, rate };
+    let view = PlanContext { service: "llm", groups: &groups, engine: &engine, shape: None, rate };
     let (id, stage) = Planner::default().next(NOW, &view).expect("a planned change");
     assert_eq!(stage, Stage::Decode);
     let picked = all.iter().find(|s| s.id == id).expect("the engine is listed");
@@ -113,7 +113,8 @@
         shape.observe_token(0.004_3);
     }
     let (engine, rate) = (engine(12, 27_077), 33_333.0);
-    let view = View { service: "llm", groups: &groups, engine: &engine, shape: Some(shape), rate };
+    let view =
+        PlanContext { service: "llm", groups: &groups, engine: &engine, shape: Some(shape), rate };
     let mut planner = Planner::default();
     let mut changes_made = Vec::new();
     for round in 0..20 {
--- a/crates/router/tests/zones.rs
+++ b/crates/router/tests/zones.rs
@@ -5,17 +5,17 @@
 
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::fleet::{Fleet, Gateway};
-use ebonyloft_router::share::{News, Share};
+use ebonyloft_router::share::{GossipMessage, LoadReport};
 use ebonyloft_router::zones::{
-    ALL_SCOPE_GATEWAYS, Digest, Digests, FULL_BACKOFF, Memory, Room, SUMMARY_LIFETIME, Scope,
-    ZONE_SCOPE_GATEWAYS, ZONE_SCOPE_TOKENS, scope,
+    ALL_SCOPE_GATEWAYS, FULL_BACKOFF, Memory, SUMMARY_LIFETIME, Scope, ServiceCapacity,
+    ZONE_SCOPE_GATEWAYS, ZONE_SCOPE_TOKENS, ZoneSummaries, ZoneSummary, scope,
 };
 
 const NOW: Timestamp = Timestamp::from_millis(100_000);
 const SOON: Duration = Duration::from_millis(500);
 
-fn digest(zone: &str, seq: u64, free: u32, read: u32) -> Digest {
-    Digest {
+fn digest(zone: &str, seq: u64, free: u32, read: u32) -> ZoneSummary {
+    ZoneSummary {
         name: format!("front-{zone}-1"),
         zone: zone.into(),
         addr: ([127, 0, 0, 1], 7_000).into(),
@@ -25,21 +25,22 @@
         roster: 1,
         fleet: 1,
         notes: 0,
-        rooms: vec![Room { service: "llm".into(), free, places: free / 100, read }],
+        rooms: vec![ServiceCapacity { service: "llm".into(), free, places: free / 100, read }],
     }
 }
 
 /// Until the ranks are known, all gateways of a zone send summaries.
 #[test]
 fn one_summary_of_each_zone_is_relayed_however_many_gateways_send() {
-    let mut digests = Digests::default();
+    let mut digests = ZoneSummaries::default();
     for n in 0..222 {
         let name = format!("front-siracusa-ortigia-{n}");
         let now = NOW.after(Duration::from_millis(n));
-        digests.hear(now, Digest { name, ..digest(["b", "c", "d"][n as usize % 3], 1, 500, 90) });
+        digests
+            .hear(now, ZoneSummary { name, ..digest(["b", "c", "d"][n as usize % 3], 1, 500, 90) });
     }
     let now = NOW.after(SOON);
-    let relayed: Vec<Digest> = digests.passed_on(now).cloned().collect();
+    let relayed: Vec<ZoneSummary> = digests.passed_on(now).cloned().collect();
     let zones: Vec<&str> = relayed.iter().map(|d| d.zone.as_str()).collect();
     assert_eq!(zones, ["b", "c", "d"]);
     assert!(relayed.iter().all(|d| d.name.ends_with(|c: char| c.is_ascii_digit()) && d.seq == 1));
@@ -48,8 +49,13 @@
     assert_eq!(digests.passed_on(now.after(SUMMARY_LIFETIME)).count(), 0);
 }
 
-fn overflow_zone(digests: &Digests, now: Timestamp, tried: &[String], draw: f64) -> Option<String> {
-    digests.spill(now, "llm", SOON, tried, draw).map(|d| d.zone.clone())
+fn overflow_zone(
+    digests: &ZoneSummaries,
+    now: Timestamp,
+    tried: &[String],
+    draw: f64,
+) -> Option<String> {
+    digests.overflow_target(now, "llm", SOON, tried, draw).map(|d| d.zone.clone())
 }
 
 fn fleet(gateways: usize) -> Fleet {
@@ -91,7 +97,7 @@
 
 #[test]
 fn a_zone_with_free_memory_and_a_prefill_engine_is_asked() {
-    let mut digests = Digests::default();
+    let mut digests = ZoneSummaries::default();
     assert_eq!(overflow_zone(&digests, NOW, &[], 0.5), None);
     digests.hear(NOW, digest("full", 1, 50, 0));
     digests.hear(NOW, digest("late", 1, 500, 501));
@@ -103,13 +109,13 @@
     digests.hear(NOW, digest("good", 1, 500, 499));
     assert_eq!(overflow_zone(&digests, NOW, &[], 0.5).as_deref(), Some("good"));
     assert_eq!(overflow_zone(&digests, NOW, &["good".to_owned()], 0.5), None, "already asked");
-    assert_eq!(digests.spill(NOW, "other", SOON, &[], 0.5), None);
+    assert_eq!(digests.overflow_target(NOW, "other", SOON, &[], 0.5), None);
 }
 
 /// Gateways must not all ask the zone with the most room, because its summary is slightly old.
 #[test]
 fn zones_are_asked_in_proportion_to_their_capacity() {
-    let mut digests = Digests::default();
+    let mut digests = ZoneSummaries::default();
     digests.hear(NOW, digest("a", 1, 300, 0));
     digests.hear(NOW, digest("b", 1, 100, 0));
     let asked = |zone: &str| {
@@ -123,16 +129,16 @@
 /// Capacity that a summary showed is not asked for again and again.
 #[test]
 fn a_zone_that_granted_nothing_is_not_asked_for_a_while() {
-    let mut digests = Digests::default();
+    let mut digests = ZoneSummaries::default();
     digests.hear(NOW, digest("a", 1, 300, 0));
-    digests.full(NOW, "a");
+    digests.on_refused(NOW, "a");
     assert_eq!(overflow_zone(&digests, NOW.after(FULL_BACKOFF / 2), &[], 0.5), None);
     assert!(overflow_zone(&digests, NOW.after(FULL_BACKOFF), &[], 0.5).is_some());
 }
 
 #[test]
 fn a_summary_is_valid_for_a_while() {
-    let mut digests = Digests::default();
+    let mut digests = ZoneSummaries::default();
     assert!(digests.hear(NOW, digest("a", 5, 500, 0)));
     assert!(!digests.hear(NOW.after(SOON), digest("a", 5, 500, 0)), "relayed by another gateway");
     assert!(!digests.hear(NOW.after(SOON), digest("a", 4, 500, 0)), "outdated");
@@ -146,18 +152,20 @@
 /// region.
 #[test]
 fn a_load_report_with_summaries_of_other_zones_fits_a_datagram() {
-    let digests: Vec<Digest> = (0..7)
+    let digests: Vec<ZoneSummary> = (0..7)
         .flat_map(|zone| [1, 2].map(|n| (zone, n)))
-        .map(|(zone, n)| Digest {
+        .map(|(zone, n)| ZoneSummary {
             name: format!("front-{n}"),
             ..digest(&format!("zone-{zone}"), 1, 500, 90)
         })
         .collect();
     let mut bytes = Vec::new();
-    let share = Share { name: "front-zone-8-1".into(), digests, ..Share::default() };
-    ciborium::into_writer(&News::Share(share), &mut bytes).expect("a load report is encoded");
+    let share = LoadReport { name: "front-zone-8-1".into(), digests, ..LoadReport::default() };
+    ciborium::into_writer(&GossipMessage::Share(share), &mut bytes)
+        .expect("a load report is encoded");
     assert!(bytes.len() < 2_500, "{}", bytes.len());
     let mut one = Vec::new();
-    ciborium::into_writer(&News::Digest(digest("zone-1", 1, 500, 90)), &mut one).expect("encoded");
+    ciborium::into_writer(&GossipMessage::Digest(digest("zone-1", 1, 500, 90)), &mut one)
+        .expect("encoded");
     assert!(one.len() < 120, "{}", one.len());
 }
--- a/crates/standins/src/fleet/peer.rs
+++ b/crates/standins/src/fleet/peer.rs
@@ -7,10 +7,10 @@
 
 use compio::net::{TcpListener, UdpSocket};
 use ebonyloft_router::catalog::Config;
-use ebonyloft_router::delegate::Link;
+use ebonyloft_router::delegate::StoreLink;
 use ebonyloft_router::pulls::Versions;
-use ebonyloft_router::roster::{Change, Entry};
-use ebonyloft_router::share::{News, Share};
+use ebonyloft_router::roster::{Change, Registration};
+use ebonyloft_router::share::{GossipMessage, LoadReport};
 use ebonyloftd::gateway::belief::{Belief, Servers};
 use ebonyloftd::http::{self, Body};
 use hyper::body::Incoming;
@@ -69,7 +69,7 @@
     }
 
     /// It hears that a backend server's registration changed, as of a revision.
-    pub fn hear_change(&self, name: &str, entry: Entry, revision: u64) {
+    pub fn hear_change(&self, name: &str, entry: Registration, revision: u64) {
         let mut known = self.known.borrow_mut();
         known.versions.roster = revision;
         known.changes.push(Change { name: name.to_owned(), entry, revision });
@@ -88,11 +88,13 @@
         for seq in 1.. {
             let Known { versions, settles, .. } = *self.known.borrow();
             let Versions { config, roster, fleet } = versions;
-            let link = Link::Heard { settles, age: 0 };
+            let link = StoreLink::Heard { settles, age: 0 };
             let name = self.name.clone();
-            let share = Share { name, seq, config, roster, fleet, link, ..Share::default() };
+            let share =
+                LoadReport { name, seq, config, roster, fleet, link, ..LoadReport::default() };
             let mut bytes = Vec::new();
-            ciborium::into_writer(&News::Share(share), &mut bytes).expect("a share is encoded");
+            ciborium::into_writer(&GossipMessage::Share(share), &mut bytes)
+                .expect("a share is encoded");
             let _ = socket.send_to(bytes, to).await;
             compio::time::sleep(TELL).await;
         }
--- a/crates/standins/tests/gateway.rs
+++ b/crates/standins/tests/gateway.rs
@@ -7,7 +7,7 @@
 use compio::net::UdpSocket;
 use compio::runtime::JoinHandle;
 use ebonyloft_router::catalog::{Split, Stage};
-use ebonyloft_router::share::{News, Share};
+use ebonyloft_router::share::{GossipMessage, LoadReport};
 use ebonyloft_standins::fleet::caller::Answer;
 use ebonyloft_standins::fleet::runner::{Fault, RunnerSpec};
 use ebonyloft_standins::fleet::store;
@@ -477,13 +477,16 @@
     });
 }
 
-fn share(datagram: &[u8]) -> Share {
-    match ciborium::from_reader::<News, _>(datagram).expect("a datagram that can be read") {
-        News::Share(share) => share,
-        News::Digest(_) => panic!("a digest goes to other zones only"),
-        News::Notes(_) => panic!("no backend server ended or leaves"),
-        News::Ask(_) | News::Answer(_) | News::Unused(..) => panic!("there are no client accounts"),
-        News::Age(_) | News::Held(..) => panic!("no key can be taken away"),
+fn share(datagram: &[u8]) -> LoadReport {
+    match ciborium::from_reader::<GossipMessage, _>(datagram).expect("a datagram that can be read")
+    {
+        GossipMessage::Share(share) => share,
+        GossipMessage::Digest(_) => panic!("a digest goes to other zones only"),
+        GossipMessage::Notes(_) => panic!("no backend server ended or leaves"),
+        GossipMessage::Ask(_) | GossipMessage::Answer(_) | GossipMessage::Unused(..) => {
+            panic!("there are no client accounts")
+        }
+        GossipMessage::Age(_) | GossipMessage::Held(..) => panic!("no key can be taken away"),
     }
 }
 
--- a/crates/standins/tests/leaving.rs
+++ b/crates/standins/tests/leaving.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ebonyloft_router::roster::Entry;
+use ebonyloft_router::roster::Registration;
 use ebonyloft_standins::fleet::peer::Peer;
 use ebonyloft_standins::fleet::{
     CHECK, Fleet, FleetSpec, SUMMARY, config, large_config, store, with_fleet,
@@ -93,7 +93,7 @@
         reader.draining = true;
         for peer in peers {
             peer.hear_config(&config(2, &FleetSpec::default()));
-            peer.hear_change(&reader.id.name, Entry::Server(reader.clone()), 1_000);
+            peer.hear_change(&reader.id.name, Registration::Server(reader.clone()), 1_000);
         }
         compio::time::sleep(BOUND).await;
         assert_eq!(prompts_read(fleet, "after", 10).await, 0, "sent to an engine that leaves");
@@ -118,7 +118,7 @@
         compio::time::sleep(SECOND / 2).await;
         let reader = fleet.runners[0].server.borrow().id.name.clone();
         for peer in peers {
-            peer.hear_change(&reader, Entry::Removed, 1_000);
+            peer.hear_change(&reader, Registration::Removed, 1_000);
         }
         compio::time::sleep(SECOND).await;
         assert!(prompts_read(fleet, "before", 10).await > 0, "it may be alive");
@@ -170,7 +170,7 @@
         fleet.store.set_fault(fault);
         let mut reader = fleet.runners[0].server.borrow().clone();
         reader.draining = true;
-        peer.hear_change(&reader.id.name, Entry::Server(reader.clone()), 1_000);
+        peer.hear_change(&reader.id.name, Registration::Server(reader.clone()), 1_000);
         compio::time::sleep(BOUND).await;
         assert_eq!(prompts_read(fleet, "after", 10).await, 0, "sent to an engine that leaves");
     });
