--- a/crates/daemon/src/gateway/stream/incoming.rs
+++ b/crates/daemon/src/gateway/stream/incoming.rs
@@ -107,7 +107,7 @@
     };
     log_result(&shared, &request, &view, Some(&server.id));
     if let Some((prefill_engine, _)) = &prefill_engine {
-        shared.engines.borrow_mut().reading(&prefill_engine.id, request.prompt);
+        shared.engines.borrow_mut().on_prefill_sent(&prefill_engine.id, request.prompt);
     }
     shared.request_report();
     let (id, done) = shared.incoming.borrow_mut().insert();
--- a/crates/daemon/src/gateway/stream/prefill.rs
+++ b/crates/daemon/src/gateway/stream/prefill.rs
@@ -140,7 +140,7 @@
     let prompt = intake.caller.prompt;
     let work = shared.engine_load(&server.id);
     let base_time = shared.service_estimates(&intake.service).reading.time(work, prompt);
-    shared.engines.borrow_mut().reading(&server.id, prompt);
+    shared.engines.borrow_mut().on_prefill_sent(&server.id, prompt);
     shared.request_report();
     state.prefilling = Some((server.id.clone(), prompt));
     let mut req = intake.request(now, &server.id);
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -337,7 +337,7 @@
     }
 
     /// Records that a prompt was sent to an engine for prefill.
-    pub fn reading(&mut self, id: &ServerId, tokens: u64) {
+    pub fn on_prefill_sent(&mut self, id: &ServerId, tokens: u64) {
         let load = &mut self.records.entry(id.clone()).or_default().load;
         load.unread += tokens;
         load.reads += 1;
--- a/crates/router/tests/load/world.rs
+++ b/crates/router/tests/load/world.rs
@@ -321,7 +321,7 @@
         let e = &mut self.entries[entry].engines;
         e.leave(ticket);
         e.on_reserved(&id, need);
-        e.reading(&prefill_id, prompt);
+        e.on_prefill_sent(&prefill_id, prompt);
         self.requests[i].decode_engine = decode_engine;
         self.requests[i].state = State::Prefill { engine: prefill_engine, until };
     }
