--- a/crates/daemon/src/gateway/stream/incoming.rs
+++ b/crates/daemon/src/gateway/stream/incoming.rs
@@ -207,7 +207,7 @@
 
     fn end_prefill(&mut self, shared: &Shared) {
         if let Some((id, prompt)) = self.prefilling.take() {
-            shared.engines.borrow_mut().read(&id, prompt);
+            shared.engines.borrow_mut().on_prefill_ended(&id, prompt);
         }
     }
 
--- a/crates/daemon/src/gateway/stream/prefill.rs
+++ b/crates/daemon/src/gateway/stream/prefill.rs
@@ -153,7 +153,7 @@
     let done = shared.now();
     state.prefilling = None;
     let mut engines = shared.engines.borrow_mut();
-    engines.read(&server.id, prompt);
+    engines.on_prefill_ended(&server.id, prompt);
     let ms = done.since(now).as_millis() as u64;
     let predicted_ms = ready_at.since(now).as_millis() as u64;
     let rate = shared.service_estimates(&intake.service).reading.rate() as u64;
--- a/crates/daemon/src/gateway/stream/state.rs
+++ b/crates/daemon/src/gateway/stream/state.rs
@@ -136,7 +136,7 @@
             shared.engines.borrow_mut().leave(ticket);
         }
         if let Some((id, tokens)) = self.prefilling.take() {
-            shared.engines.borrow_mut().read(&id, tokens);
+            shared.engines.borrow_mut().on_prefill_ended(&id, tokens);
         }
         self.drop_prefill_handle(shared);
         self.free_reservation(shared, now, complete);
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -344,7 +344,7 @@
     }
 
     /// Records that an engine finished prefill of a prompt, or will not do it.
-    pub fn read(&mut self, id: &ServerId, tokens: u64) {
+    pub fn on_prefill_ended(&mut self, id: &ServerId, tokens: u64) {
         if let Some(record) = self.records.get_mut(id) {
             record.load.unread = record.load.unread.saturating_sub(tokens);
             record.load.reads = record.load.reads.saturating_sub(1);
--- a/crates/router/tests/engines.rs
+++ b/crates/router/tests/engines.rs
@@ -209,7 +209,7 @@
     );
     engines.on_prefill_sent(&id(1), 3_000);
     assert_eq!(engines.own_load(&id(0)).memory.peak(), 4_700);
-    engines.read(&id(1), 3_000);
+    engines.on_prefill_ended(&id(1), 3_000);
     engines.on_released(NOW, &id(0), MemoryForecast::constant(4_700), true);
     assert!(engines.work().is_empty());
 }
--- a/crates/router/tests/load/world.rs
+++ b/crates/router/tests/load/world.rs
@@ -332,7 +332,7 @@
             let r = &self.requests[i];
             (r.entry, r.prompt, r.arrived, r.output)
         };
-        self.entries[entry].engines.read(&id, prompt);
+        self.entries[entry].engines.on_prefill_ended(&id, prompt);
         let first = self.now.after(FIRST_EVENT / 2).since(arrived);
         if first > CALLER_TIMEOUT {
             self.outcome.wasted += 1;
