--- a/crates/check/src/accounts/gate.rs
+++ b/crates/check/src/accounts/gate.rs
@@ -5,7 +5,6 @@
 
 use ebonyloft_core::config::Rate;
 use ebonyloft_core::time::Timestamp;
-use ebonyloft_router::delegate::LEADER_TIMEOUT;
 use ebonyloft_router::fleet::Fleet;
 use ebonyloft_router::node::Excess;
 use ebonyloft_router::quota::issuer::{LeaseIssuer, standby_share};
@@ -14,7 +13,8 @@
     Owners, ReachabilityReports, UnreachableGateways, gateway_number,
 };
 use ebonyloft_router::quota::{LeaseDecision, LeaseRequest, LimitKey};
-use ebonyloft_router::recency::ConfigStaleness;
+use ebonyloft_router::staleness::ConfigStaleness;
+use ebonyloft_router::zone_leader::LEADER_TIMEOUT;
 use ebonyloft_router::zones::{Scope, scope};
 
 use super::{Mutant, OVER, WINDOW};
--- a/crates/check/src/accounts/world.rs
+++ b/crates/check/src/accounts/world.rs
@@ -8,7 +8,7 @@
 use ebonyloft_router::fleet::{Fleet, Gateway};
 use ebonyloft_router::quota::ownership::UnreachableGateways;
 use ebonyloft_router::quota::{LeaseDecision, LeaseRequest, LimitKey};
-use ebonyloft_router::recency::VersionAge;
+use ebonyloft_router::staleness::VersionAge;
 use ebonyloft_router::zones::{Scope, scope};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/check/src/answers/gate.rs
+++ b/crates/check/src/answers/gate.rs
@@ -6,12 +6,12 @@
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::back_offs::BackOffs;
 use ebonyloft_router::catalog::{Server, ServerId};
-use ebonyloft_router::drift::DivergenceDetector;
+use ebonyloft_router::divergence::DivergenceDetector;
 use ebonyloft_router::lost_attempts::{LostAttempt, LostAttempts, STREAM_PROBE_DELAY};
 use ebonyloft_router::outcome::BackOff;
 use ebonyloft_router::quarantine::{Fact, Quarantine, QuarantineState, QuarantineUpdate};
+use ebonyloft_router::registry::ServerRegistry;
 use ebonyloft_router::request_digest::RequestDigest;
-use ebonyloft_router::roster::ServerRegistry;
 
 /// A rule left out.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
--- a/crates/check/src/answers/world.rs
+++ b/crates/check/src/answers/world.rs
@@ -5,11 +5,11 @@
 
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Server, ServerId, Stage};
+use ebonyloft_router::load_report::{GossipMessage, GossipState};
 use ebonyloft_router::lost_attempts::{LostAttempt, ProbeResult};
 use ebonyloft_router::quarantine::{Crash, Fact, QuarantineState, QuarantineUpdate};
+use ebonyloft_router::registry::{Change, Registration};
 use ebonyloft_router::request_digest::RequestDigest;
-use ebonyloft_router::roster::{Change, Registration};
-use ebonyloft_router::share::{GossipMessage, GossipState};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/daemon/src/gateway/belief.rs
+++ b/crates/daemon/src/gateway/belief.rs
@@ -8,10 +8,10 @@
 
 use bytes::Bytes;
 use ebonyloft_router::catalog::Config;
+use ebonyloft_router::fetches::{FetchKind, Versions};
 use ebonyloft_router::fleet::Gateway;
-use ebonyloft_router::pulls::{FetchKind, Versions};
-use ebonyloft_router::recency::VersionAge;
-use ebonyloft_router::roster::Change;
+use ebonyloft_router::registry::Change;
+use ebonyloft_router::staleness::VersionAge;
 use hyper::{Request, Response, StatusCode};
 use serde::{Deserialize, Serialize};
 
--- a/crates/daemon/src/gateway/keys.rs
+++ b/crates/daemon/src/gateway/keys.rs
@@ -12,9 +12,9 @@
 use ebonyloft_platform::headers::Caller;
 use ebonyloft_router::accounts::{self, Account, Credential, Identity};
 use ebonyloft_router::catalog::{Config, Route};
-use ebonyloft_router::delegate::StoreLink;
-use ebonyloft_router::recency::{VersionAge, WATCH_LAG_MAX};
-use ebonyloft_router::share::GossipMessage;
+use ebonyloft_router::load_report::GossipMessage;
+use ebonyloft_router::staleness::{VersionAge, WATCH_LAG_MAX};
+use ebonyloft_router::zone_leader::StoreLink;
 
 use super::answer::Cause;
 use super::intake::Intake;
--- a/crates/daemon/src/gateway/notes.rs
+++ b/crates/daemon/src/gateway/notes.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use compio::net::UdpSocket;
-use ebonyloft_router::share::{GossipMessage, GossipState};
+use ebonyloft_router::load_report::{GossipMessage, GossipState};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
 
--- a/crates/daemon/src/gateway/orders.rs
+++ b/crates/daemon/src/gateway/orders.rs
@@ -10,8 +10,8 @@
 use ebonyloft_platform::engine::{self, Ordered};
 use ebonyloft_platform::store::{StoreError, Write};
 use ebonyloft_router::catalog::{Server, ServerId, Stage};
-use ebonyloft_router::holder::{self, LeaderRecord, Leadership, Order};
-use ebonyloft_router::roster::ServerRegistry;
+use ebonyloft_router::leadership::{self, LeaderRecord, Leadership, Order};
+use ebonyloft_router::registry::ServerRegistry;
 use ebonyloft_router::stages::{PlanContext, Planner, Shape};
 use ebonyloft_router::zones::Scope;
 
@@ -81,7 +81,7 @@
         None => LeaderRecord::default(),
     };
     let sent = shared.now();
-    let lease = shared.store.lease(holder::LEASE).await?;
+    let lease = shared.store.lease(leadership::LEASE).await?;
     let name = shared.node().name.clone();
     let next = LeaderRecord { fence: record.fence + 1, holder: name };
     let value = serde_json::to_vec(&next).expect("plain strings and numbers serialise");
@@ -107,7 +107,7 @@
 }
 
 async fn renew_and_order(shared: &Shared, planner: &mut Planner, mut leadership: Leadership) {
-    let mut renew_at = shared.now().after(holder::RENEW);
+    let mut renew_at = shared.now().after(leadership::RENEW);
     loop {
         compio::time::sleep(CHECK_INTERVAL).await;
         let now = shared.now();
@@ -115,7 +115,7 @@
             return release(shared, leadership).await;
         }
         if now >= renew_at {
-            renew_at = now.after(holder::RENEW);
+            renew_at = now.after(leadership::RENEW);
             match shared.store.renew(leadership.lease).await {
                 Ok(_) => leadership.renewed(now),
                 Err(StoreError::Missing) => {
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -12,9 +12,9 @@
 use bytes::Bytes;
 use compio::net::{TcpListener, UdpSocket};
 use ebonyloft_core::time::Timestamp;
-use ebonyloft_router::delegate::StoreLink;
-use ebonyloft_router::pulls::Versions;
-use ebonyloft_router::share::{self, GossipMessage, LoadReport};
+use ebonyloft_router::fetches::Versions;
+use ebonyloft_router::load_report::{self, GossipMessage, LoadReport};
+use ebonyloft_router::zone_leader::StoreLink;
 use ebonyloft_router::zones::{DIGEST_PAUSE, Scope, ServiceCapacity, ZoneSummary};
 use futures_util::StreamExt;
 use futures_util::future::select;
@@ -48,7 +48,7 @@
     let mut summaries_sent_at = Timestamp::default();
     loop {
         let recipients = report_recipients(&shared);
-        let pause = share::pause(recipients.len());
+        let pause = load_report::pause(recipients.len());
         compio::time::sleep(pause.mul_f64(MIN_PAUSE_FACTOR)).await;
         let idle_pause = std::pin::pin!(compio::time::sleep(pause.mul_f64(IDLE_PAUSE_FACTOR)));
         select(shared.report_requested(), idle_pause).await;
@@ -213,7 +213,7 @@
             Ok(received) => received,
             Err(e) => {
                 tracing::debug!(error = %e, "can't receive datagram");
-                compio::time::sleep(share::REPORT_INTERVAL).await;
+                compio::time::sleep(load_report::REPORT_INTERVAL).await;
                 continue;
             }
         };
--- a/crates/daemon/src/gateway/quota.rs
+++ b/crates/daemon/src/gateway/quota.rs
@@ -14,13 +14,13 @@
 use ebonyloft_core::verdict::Verdict;
 use ebonyloft_router::accounts::{Account, Quota};
 use ebonyloft_router::limits::{EXCESS as SERVER_EXCESS, Limit};
+use ebonyloft_router::load_report::{GossipMessage, LoadReports};
 use ebonyloft_router::node::Excess;
 use ebonyloft_router::quota::issuer::standby_share;
 use ebonyloft_router::quota::ownership::{
     ReachabilityReports, UnreachableGateways, gateway_number,
 };
 use ebonyloft_router::quota::{LeaseDecision, LeaseRequest, LeaseResponse, LimitKey};
-use ebonyloft_router::share::{GossipMessage, LoadReports};
 use ebonyloft_router::zones::Scope;
 use futures_channel::oneshot;
 use hyper::Response;
--- a/crates/daemon/src/gateway/stream/admission.rs
+++ b/crates/daemon/src/gateway/stream/admission.rs
@@ -4,12 +4,12 @@
 
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_platform::engine;
+use ebonyloft_router::answer_length::LengthForecast;
 use ebonyloft_router::catalog::{Engine, Server, ServerId, Stage};
 use ebonyloft_router::engines::{AdmissionContext, AdmissionDecision, Demand, Shortage};
 use ebonyloft_router::forecast::MemoryForecast;
-use ebonyloft_router::growth::LengthForecast;
-use ebonyloft_router::roster::ServerRegistry;
-use ebonyloft_router::share::EngineLoad;
+use ebonyloft_router::load_report::EngineLoad;
+use ebonyloft_router::registry::ServerRegistry;
 use futures_util::future::select;
 
 use super::state::{Reservation, StreamState};
--- a/crates/daemon/src/gateway/stream/incoming.rs
+++ b/crates/daemon/src/gateway/stream/incoming.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use ebonyloft_core::time::Timestamp;
+use ebonyloft_router::answer_length::LengthForecast;
 use ebonyloft_router::catalog::{Server, ServerId};
 use ebonyloft_router::engines::{AdmissionContext, Demand};
 use ebonyloft_router::forecast::MemoryForecast;
-use ebonyloft_router::growth::LengthForecast;
 use futures_channel::oneshot;
 use futures_util::future::{Either, select};
 use http_body_util::BodyExt;
--- a/crates/daemon/src/gateway/stream/overflow.rs
+++ b/crates/daemon/src/gateway/stream/overflow.rs
@@ -9,9 +9,9 @@
 
 use bytes::Bytes;
 use ebonyloft_core::time::Timestamp;
+use ebonyloft_router::answer_length::LengthForecast;
 use ebonyloft_router::catalog::Server;
 use ebonyloft_router::engines::{Demand, FIRST_EVENT, LATE_PREFILL_MAX};
-use ebonyloft_router::growth::LengthForecast;
 use ebonyloft_router::zones::Scope;
 use hyper::{Method, Request, StatusCode};
 use serde::{Deserialize, Serialize};
--- a/crates/daemon/src/gateway/stream/prefill.rs
+++ b/crates/daemon/src/gateway/stream/prefill.rs
@@ -6,9 +6,9 @@
 use ebonyloft_platform::{engine, headers};
 use ebonyloft_router::budget::NextSend;
 use ebonyloft_router::catalog::{Server, Stage};
+use ebonyloft_router::load_report::EngineLoad;
 use ebonyloft_router::outcome::AttemptOutcome;
 use ebonyloft_router::prefill::{self, ChoiceContext};
-use ebonyloft_router::share::EngineLoad;
 
 use super::state::{PrefillHandle, StreamState};
 use crate::gateway::call;
--- a/crates/daemon/src/gateway/stream/state.rs
+++ b/crates/daemon/src/gateway/stream/state.rs
@@ -6,10 +6,10 @@
 use bytes::Bytes;
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_platform::{engine, headers};
+use ebonyloft_router::answer_length::LengthForecast;
 use ebonyloft_router::catalog::{Server, ServerId};
 use ebonyloft_router::engines::Ticket;
 use ebonyloft_router::forecast::MemoryForecast;
-use ebonyloft_router::growth::LengthForecast;
 use ebonyloft_router::outcome::Progress;
 use hyper::{HeaderMap, Request};
 
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -13,8 +13,8 @@
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_platform::store::{Age, CONFIG_KEY, Item, StoreError};
 use ebonyloft_platform::{config, servers};
-use ebonyloft_router::recency::ConfigStaleness;
-use ebonyloft_router::roster::{Change, Effect, Registration};
+use ebonyloft_router::registry::{Change, Effect, Registration};
+use ebonyloft_router::staleness::ConfigStaleness;
 
 use super::shared::Shared;
 use super::store::WatchReply;
--- a/crates/router/src/catalog.rs
+++ b/crates/router/src/catalog.rs
@@ -9,7 +9,7 @@
 use serde_with::{DurationMilliSeconds, serde_as};
 
 use crate::accounts::Accounts;
-use crate::drift::{mix, stable_hash};
+use crate::divergence::{mix, stable_hash};
 
 /// The operator's configuration: routes, services, limits and client accounts.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -13,7 +13,7 @@
 
 use crate::catalog::{Engine, Server, ServerId};
 use crate::forecast::{MARGIN_SIGMAS, MemoryForecast};
-use crate::share::{EngineLoad, sample_size};
+use crate::load_report::{EngineLoad, sample_size};
 
 /// Time from the end of prefill to the first event: the transfer, the first step and the tokens of
 /// one event, with a margin for the network. Measured over 2,168 prompts of 25 gateways: 33 ms at
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -10,7 +10,7 @@
 use ebonyloft_core::time::Timestamp;
 use serde::{Deserialize, Serialize};
 
-use crate::delegate::LEADERS_PER_ZONE;
+use crate::zone_leader::LEADERS_PER_ZONE;
 
 /// A gateway as registered.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
--- a/crates/router/src/learned.rs
+++ b/crates/router/src/learned.rs
@@ -3,8 +3,8 @@
 
 use std::collections::HashMap;
 
-use crate::growth::{AnswerLengths, TypicalRequest};
-use crate::reading::PrefillSpeed;
+use crate::answer_length::{AnswerLengths, TypicalRequest};
+use crate::prefill_speed::PrefillSpeed;
 use crate::stages::Shape;
 
 /// Statistics of one service's engines and requests.
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::catalog::ServerId;
-use crate::drift::mix;
+use crate::divergence::mix;
 use crate::node::Excess;
 
 /// Thousandths of a request per second.
--- a/crates/router/src/share.rs
+++ b/crates/router/src/load_report.rs
@@ -12,7 +12,6 @@
 use serde_with::serde_as;
 
 use crate::catalog::ServerId;
-use crate::delegate::{LEADER_TIMEOUT, StoreLink};
 use crate::fleet::Fleet;
 use crate::forecast::MemoryForecast;
 use crate::limits::LimitUpdate;
@@ -20,6 +19,7 @@
 use crate::quota::ownership::{UnreachableGateways, gateway_number};
 use crate::quota::{LeaseRequest, LeaseResponse, LimitKey};
 use crate::varint;
+use crate::zone_leader::{LEADER_TIMEOUT, StoreLink};
 use crate::zones::ZoneSummary;
 
 /// Interval between two load reports to each peer while there is load: a tenth of the delay of the
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -16,7 +16,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::catalog::ServerId;
-use crate::drift::mix;
+use crate::divergence::mix;
 use crate::request_digest::RequestDigest;
 
 /// Points at which a request is refused: three crashes soon after its start, or five later ones.
--- a/crates/router/src/quota.rs
+++ b/crates/router/src/quota.rs
@@ -16,7 +16,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::catalog::ServerId;
-use crate::drift::stable_hash;
+use crate::divergence::stable_hash;
 use crate::limits::Limit;
 
 /// Validity of a token lease, from when it was requested.
--- a/crates/router/src/quota/ownership.rs
+++ b/crates/router/src/quota/ownership.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 
 use super::LimitKey;
-use crate::drift::{mix, stable_hash};
+use crate::divergence::{mix, stable_hash};
 use crate::fleet::Fleet;
 
 /// Gateways ranked for a limit; when all of them are lost, no tokens are granted until the list changes.
--- a/crates/router/src/freshness.rs
+++ b/crates/router/src/store_state.rs
@@ -7,7 +7,7 @@
 
 use ebonyloft_core::time::Timestamp;
 
-use crate::delegate::StoreLink;
+use crate::zone_leader::StoreLink;
 
 /// How long after the store's return a missing backend server may still register again. The
 /// platform states about two seconds; a tenth is added for the transfer of the change.
--- a/crates/router/src/zones.rs
+++ b/crates/router/src/zones.rs
@@ -16,7 +16,7 @@
 
 use crate::engines::FREE_TIGHT;
 use crate::fleet::Fleet;
-use crate::share::is_zero;
+use crate::load_report::is_zero;
 
 /// Number of gateways from which on zones decide separately, however small they are: reports among
 /// all gateways then cost more than sharing all engines gains.
--- a/crates/router/tests/delegate.rs
+++ b/crates/router/tests/delegate.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use ebonyloft_core::time::Timestamp;
-use ebonyloft_router::delegate::{
+use ebonyloft_router::fleet::{Fleet, Gateway, LAPSE_GRACE};
+use ebonyloft_router::load_report::{LoadReport, LoadReports};
+use ebonyloft_router::store_state::StoreState;
+use ebonyloft_router::zone_leader::{
     LEADER_TIMEOUT, LEADERS_PER_ZONE, LeaderState, STEP_DOWN_DELAY, StoreLink, TAKEOVER_STEP,
     TAKEOVER_STEPS_MAX,
 };
-use ebonyloft_router::fleet::{Fleet, Gateway, LAPSE_GRACE};
-use ebonyloft_router::freshness::StoreState;
-use ebonyloft_router::share::{LoadReport, LoadReports};
 
 const NOW: Timestamp = Timestamp::from_millis(100_000);
 const HEARD: StoreLink = StoreLink::Heard { settles: 0, age: 0 };
--- a/crates/router/tests/engines.rs
+++ b/crates/router/tests/engines.rs
@@ -6,14 +6,14 @@
 use std::time::Duration;
 
 use ebonyloft_core::time::Timestamp;
+use ebonyloft_router::answer_length::{AnswerLengths, TypicalRequest};
 use ebonyloft_router::catalog::{Engine, Server, ServerId, Stage};
 use ebonyloft_router::engines::{
     AdmissionContext, AdmissionDecision, Demand, EngineAdmission, FREE_SCARCE, FREE_TIGHT,
     FULL_BACKOFF, REJECT_BACKOFF, Shortage, THRESHOLD_MAX, Ticket, value_threshold,
 };
 use ebonyloft_router::forecast::{MARGIN_SIGMAS, MemoryForecast};
-use ebonyloft_router::growth::{AnswerLengths, TypicalRequest};
-use ebonyloft_router::share::EngineLoad;
+use ebonyloft_router::load_report::EngineLoad;
 
 use self::fleet::{engine, server};
 
--- a/crates/router/tests/load/world.rs
+++ b/crates/router/tests/load/world.rs
@@ -7,15 +7,17 @@
 use std::time::Duration;
 
 use ebonyloft_core::time::Timestamp;
+use ebonyloft_router::answer_length::{
+    AnswerLengths, FIXED_VALUE, OUTPUT_TOKEN_WEIGHT, TypicalRequest,
+};
 use ebonyloft_router::catalog::{Engine, Server, ServerId, Stage};
 use ebonyloft_router::engines::{
     AdmissionContext, AdmissionDecision, Demand, EngineAdmission, FIRST_EVENT, Ticket,
 };
 use ebonyloft_router::forecast::MemoryForecast;
-use ebonyloft_router::growth::{AnswerLengths, FIXED_VALUE, OUTPUT_TOKEN_WEIGHT, TypicalRequest};
+use ebonyloft_router::load_report::{LoadReport, LoadReports};
 use ebonyloft_router::prefill::{self, ChoiceContext, SpeedFactors};
-use ebonyloft_router::reading::{INITIAL_RATE, PrefillSpeed};
-use ebonyloft_router::share::{LoadReport, LoadReports};
+use ebonyloft_router::prefill_speed::{INITIAL_RATE, PrefillSpeed};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/router/tests/losses.rs
+++ b/crates/router/tests/losses.rs
@@ -4,7 +4,7 @@
 
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Server, ServerId};
-use ebonyloft_router::drift::DivergenceDetector;
+use ebonyloft_router::divergence::DivergenceDetector;
 use ebonyloft_router::lost_attempts::{
     CALL_PROBE_DELAY, INVESTIGATION_TIMEOUT, LostAttempt, LostAttempts, PROBE_INTERVAL,
     ProbeResult, STREAM_PROBE_DELAY,
--- a/crates/router/tests/memory.rs
+++ b/crates/router/tests/memory.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 
 use ebonyloft_core::time::Timestamp;
+use ebonyloft_router::answer_length::{AnswerLengths, LengthForecast};
 use ebonyloft_router::catalog::{Server, ServerId, Stage};
 use ebonyloft_router::engines::{AdmissionContext, AdmissionDecision, Demand, EngineAdmission};
 use ebonyloft_router::forecast::{MARGIN_SIGMAS, MemoryForecast, POINTS};
-use ebonyloft_router::growth::{AnswerLengths, LengthForecast};
-use ebonyloft_router::share::EngineLoad;
+use ebonyloft_router::load_report::EngineLoad;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/router/tests/pulls.rs
+++ b/crates/router/tests/pulls.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ebonyloft_core::time::Timestamp;
-use ebonyloft_router::pulls::{FetchKind, Fetches, Versions};
+use ebonyloft_router::fetches::{FetchKind, Fetches, Versions};
 
 fn at(ms: u64) -> Timestamp {
     Timestamp::default().after(Duration::from_millis(ms))
--- a/crates/router/tests/reading.rs
+++ b/crates/router/tests/reading.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use ebonyloft_router::reading::{INITIAL_RATE, PrefillSpeed, SAMPLES_MIN};
-use ebonyloft_router::share::EngineLoad;
+use ebonyloft_router::load_report::EngineLoad;
+use ebonyloft_router::prefill_speed::{INITIAL_RATE, PrefillSpeed, SAMPLES_MIN};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/router/tests/recency.rs
+++ b/crates/router/tests/recency.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ebonyloft_core::time::Timestamp;
-use ebonyloft_router::recency::{
+use ebonyloft_router::staleness::{
     ConfigStaleness, QUERY_FRACTION, QUERY_INTERVAL, VersionAge, WATCH_LAG_MAX,
 };
 
--- a/crates/router/tests/roster.rs
+++ b/crates/router/tests/roster.rs
@@ -3,8 +3,8 @@
 
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Server, ServerId, Stage};
-use ebonyloft_router::freshness::{REREGISTRATION_TIME, StoreState};
-use ebonyloft_router::roster::{Change, Effect, Registration, ServerRegistry};
+use ebonyloft_router::registry::{Change, Effect, Registration, ServerRegistry};
+use ebonyloft_router::store_state::{REREGISTRATION_TIME, StoreState};
 use proptest::prelude::*;
 
 fn name(n: u32) -> String {
--- a/crates/router/tests/share.rs
+++ b/crates/router/tests/share.rs
@@ -6,7 +6,7 @@
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::ServerId;
 use ebonyloft_router::forecast::MemoryForecast;
-use ebonyloft_router::share::{
+use ebonyloft_router::load_report::{
     EngineLoad, LOAD_TIMEOUT, LoadReport, LoadReports, REPORT_INTERVAL, pause, sample_size,
 };
 use ebonyloft_router::varint;
--- a/crates/router/tests/zones.rs
+++ b/crates/router/tests/zones.rs
@@ -5,7 +5,7 @@
 
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::fleet::{Fleet, Gateway};
-use ebonyloft_router::share::{GossipMessage, LoadReport};
+use ebonyloft_router::load_report::{GossipMessage, LoadReport};
 use ebonyloft_router::zones::{
     ALL_SCOPE_GATEWAYS, FULL_BACKOFF, Memory, SUMMARY_LIFETIME, Scope, ServiceCapacity,
     ZONE_SCOPE_GATEWAYS, ZONE_SCOPE_TOKENS, ZoneSummaries, ZoneSummary, scope,
--- a/crates/standins/src/fleet/peer.rs
+++ b/crates/standins/src/fleet/peer.rs
@@ -7,10 +7,10 @@
 
 use compio::net::{TcpListener, UdpSocket};
 use ebonyloft_router::catalog::Config;
-use ebonyloft_router::delegate::StoreLink;
-use ebonyloft_router::pulls::Versions;
-use ebonyloft_router::roster::{Change, Registration};
-use ebonyloft_router::share::{GossipMessage, LoadReport};
+use ebonyloft_router::fetches::Versions;
+use ebonyloft_router::load_report::{GossipMessage, LoadReport};
+use ebonyloft_router::registry::{Change, Registration};
+use ebonyloft_router::zone_leader::StoreLink;
 use ebonyloftd::gateway::belief::{Belief, Servers};
 use ebonyloftd::http::{self, Body};
 use hyper::body::Incoming;
--- a/crates/standins/tests/gateway.rs
+++ b/crates/standins/tests/gateway.rs
@@ -7,7 +7,7 @@
 use compio::net::UdpSocket;
 use compio::runtime::JoinHandle;
 use ebonyloft_router::catalog::{Split, Stage};
-use ebonyloft_router::share::{GossipMessage, LoadReport};
+use ebonyloft_router::load_report::{GossipMessage, LoadReport};
 use ebonyloft_standins::fleet::caller::Answer;
 use ebonyloft_standins::fleet::runner::{Fault, RunnerSpec};
 use ebonyloft_standins::fleet::store;
--- a/crates/standins/tests/leaving.rs
+++ b/crates/standins/tests/leaving.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ebonyloft_router::roster::Registration;
+use ebonyloft_router::registry::Registration;
 use ebonyloft_standins::fleet::peer::Peer;
 use ebonyloft_standins::fleet::{
     CHECK, Fleet, FleetSpec, SUMMARY, config, large_config, store, with_fleet,
