--- a/crates/daemon/src/gateway/answer.rs
+++ b/crates/daemon/src/gateway/answer.rs
@@ -18,10 +18,10 @@
 /// The answer broke off: the caller's connection is closed before the end of the body.
 #[derive(Clone, Copy, Debug, Snafu)]
 #[snafu(display("the answer broke off"))]
-pub struct Broken;
+pub struct BodyAborted;
 
 /// Body of an answer to a caller.
-pub type Body = UnsyncBoxBody<Bytes, Broken>;
+pub type Body = UnsyncBoxBody<Bytes, BodyAborted>;
 
 /// Why the gateway answers in place of a backend server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
@@ -102,7 +102,7 @@
 }
 
 /// A complete answer of a backend server.
-pub fn whole(status: StatusCode, headers: HeaderMap, body: Bytes) -> Response<Body> {
+pub fn complete(status: StatusCode, headers: HeaderMap, body: Bytes) -> Response<Body> {
     let mut response = Response::new(full(body));
     *response.status_mut() = status;
     *response.headers_mut() = headers;
@@ -126,7 +126,7 @@
 }
 
 /// Runs `work` to its end, or returns `None` as soon as the caller has disconnected.
-pub async fn unless_gone<T>(
+pub async fn unless_disconnected<T>(
     gone: oneshot::Receiver<()>,
     work: impl Future<Output = T>,
 ) -> Option<T> {
--- a/crates/daemon/src/gateway/belief.rs
+++ b/crates/daemon/src/gateway/belief.rs
@@ -203,6 +203,6 @@
         roster: (complete && versions.roster > theirs.roster).then(servers),
         fleet: (versions.fleet > theirs.fleet).then(|| fleet.registered()),
         settled: shared.fresh.borrow().is_trusted(shared.now()),
-        age: keys::held(shared).age.as_millis() as u64 + 1,
+        age: keys::held_config(shared).age.as_millis() as u64 + 1,
     }
 }
--- a/crates/daemon/src/gateway/call.rs
+++ b/crates/daemon/src/gateway/call.rs
@@ -16,10 +16,10 @@
 use super::intake::Intake;
 use super::keys;
 use super::limits;
-use super::quarantine::{self, Run, Sent};
+use super::quarantine::{self, RunStage, Sent};
 use super::retries;
 use super::said;
-use super::send::{self, Expect, Whole};
+use super::send::{self, CompleteAnswer, Expect};
 use super::shared::{Basis, Shared};
 
 /// Fraction of the route's goal after which an idempotent call is sent to another server; the rest
@@ -45,8 +45,8 @@
         if let Some((server, sent)) = self.send {
             shared.plain.borrow_mut().on_abandoned(&server.id, sent);
             shared.line(service).on_abandoned(sent);
-            let sent = Sent { server: &server, run: Run::Call, at: sent };
-            quarantine::note_left(shared, intake, sent);
+            let sent = Sent { server: &server, run: RunStage::Call, at: sent };
+            quarantine::on_abandoned(shared, intake, sent);
         }
         if let Some(ticket) = self.ticket {
             shared.line(service).leave(ticket);
@@ -103,7 +103,7 @@
     retries::begin(shared, intake);
     let mut flight = InFlight::default();
     let work = deliver(shared, intake, &mut flight);
-    let answered = answer::unless_gone(gone, work).await;
+    let answered = answer::unless_disconnected(gone, work).await;
     flight.close(shared, intake);
     retries::close(shared, intake);
     let ms = shared.now().since(intake.came_at).as_millis() as u64;
@@ -119,7 +119,7 @@
 async fn deliver(shared: &Shared, intake: &Intake, flight: &mut InFlight) -> Response<Body> {
     let mut progress = Progress::new(intake.is_repeatable(), intake.route().attempts);
     let mut tried: Vec<ServerId> = Vec::new();
-    let mut last_failure: Option<Whole> = None;
+    let mut last_failure: Option<CompleteAnswer> = None;
     let mut cause = Cause::NoServer;
     while progress.may_send() {
         let now = shared.now();
@@ -127,7 +127,7 @@
             cause = Cause::Timeout;
             break;
         }
-        if quarantine::is_proved(shared, &intake.content) {
+        if quarantine::is_confirmed(shared, &intake.content) {
             cause = Cause::Quarantined;
             break;
         }
@@ -140,7 +140,7 @@
         if last_failure.is_some() && !shared.line(&intake.service).has_room(now) {
             break;
         }
-        if !retries::afford(shared, intake, NextSend::Run) {
+        if !retries::reserve(shared, intake, NextSend::Run) {
             cause = Cause::Budget;
             break;
         }
@@ -159,7 +159,7 @@
         let Some(server) = pick(shared, intake, now, &tried) else {
             break;
         };
-        if !limits::take(shared, &server.id, 1).await {
+        if !limits::acquire(shared, &server.id, 1).await {
             continue;
         }
         let now = shared.now();
@@ -167,8 +167,8 @@
         progress.begin();
         let (outcome, answer) = send_to(shared, intake, &server, limit, flight).await;
         progress.record(outcome);
-        let sent = Sent { server: &server, run: Run::Call, at: now };
-        quarantine::note_fate(shared, intake, sent, outcome);
+        let sent = Sent { server: &server, run: RunStage::Call, at: now };
+        quarantine::on_outcome(shared, intake, sent, outcome);
         tried.push(server.id.clone());
         match outcome {
             AttemptOutcome::Answered(status) => {
@@ -177,7 +177,7 @@
                 }
                 last_failure = answer;
             }
-            AttemptOutcome::Moved => gone(shared, &server.id),
+            AttemptOutcome::Moved => on_replaced(shared, &server.id),
             AttemptOutcome::Rejected => cause = Cause::Overload,
             AttemptOutcome::Lost => cause = Cause::Lost,
             AttemptOutcome::Unsent => {}
@@ -194,7 +194,7 @@
 fn all_paused_until(shared: &Shared, intake: &Intake, tried: &[ServerId]) -> Option<Timestamp> {
     let roster = shared.roster.borrow();
     let untried = roster.ready(&intake.service).filter(|s| !tried.contains(&s.id));
-    said::soonest(shared, untried)
+    said::available_at(shared, untried)
 }
 
 /// The best backend server for a call among those not tried yet.
@@ -205,7 +205,7 @@
     tried: &[ServerId],
 ) -> Option<Server> {
     let (node, roster) = (shared.node(), shared.roster.borrow());
-    let servers = roster.ready(&intake.service).filter(|s| !said::rests(shared, &s.id));
+    let servers = roster.ready(&intake.service).filter(|s| !said::is_unavailable(shared, &s.id));
     let plain = shared.plain.borrow();
     plain.pick(now, &node.zone, servers, tried, || shared.draw()).cloned()
 }
@@ -234,13 +234,14 @@
     to: &Server,
     limit: Duration,
     flight: &mut InFlight,
-) -> (AttemptOutcome, Option<Whole>) {
+) -> (AttemptOutcome, Option<CompleteAnswer>) {
     let sent = shared.now();
     shared.plain.borrow_mut().on_sent(sent, &to.id);
     shared.line(&intake.service).on_sent(sent);
     flight.send = Some((to.clone(), sent));
     let req = intake.request(sent, &to.id);
-    let (outcome, answer) = send::whole(shared, intake, to, req, limit, Expect::Signature).await;
+    let (outcome, answer) =
+        send::complete_exchange(shared, intake, to, req, limit, Expect::Signature).await;
     let now = shared.now();
     let load = answer.as_ref().and_then(|a| a.reply.load);
     shared.plain.borrow_mut().on_ended(now, &to.id, sent, outcome, load);
@@ -258,15 +259,15 @@
 }
 
 /// Marks a server as gone after another one answered at its address.
-pub fn gone(shared: &Shared, id: &ServerId) {
+pub fn on_replaced(shared: &Shared, id: &ServerId) {
     quarantine::on_ended(shared, id, "address");
     if shared.roster.borrow_mut().replaced(id) {
         tracing::info!(server = %id, "backend server is gone: another one answered at its address");
     }
 }
 
-fn complete_response(answer: Whole) -> Response<Body> {
-    answer::whole(answer.status, answer.headers, answer.body)
+fn complete_response(answer: CompleteAnswer) -> Response<Body> {
+    answer::complete(answer.status, answer.headers, answer.body)
 }
 
 fn lost_response(progress: &Progress) -> Response<Body> {
--- a/crates/daemon/src/gateway/keys.rs
+++ b/crates/daemon/src/gateway/keys.rs
@@ -94,7 +94,7 @@
 
 /// Time within which a revoked key must stop running work; `None` without such a bound or without
 /// accounts.
-pub fn bound(shared: &Shared) -> Option<Duration> {
+pub fn revoke_bound(shared: &Shared) -> Option<Duration> {
     let has_accounts = shared.config().is_some_and(|c| c.accounts.is_some());
     shared.node().bounds.revoke.filter(|_| has_accounts)
 }
@@ -104,7 +104,7 @@
     let mut allowed = false;
     loop {
         compio::time::sleep(CHECK_INTERVAL).await;
-        let Some(bound) = bound(&shared) else {
+        let Some(bound) = revoke_bound(&shared) else {
             continue;
         };
         let (now, number) = (shared.now(), shared.draw_number());
@@ -154,20 +154,20 @@
 }
 
 /// Answers a peer that asks how old the configuration is here.
-pub fn tell_age(shared: &Shared, to: SocketAddr, number: u64) {
-    let VersionAge { version, age } = held(shared);
+pub fn send_age(shared: &Shared, to: SocketAddr, number: u64) {
+    let VersionAge { version, age } = held_config(shared);
     shared.post(to, GossipMessage::Held(number, version, age.as_millis() as u64 + 1));
 }
 
 /// Handles a peer's answer about the age of its configuration.
-pub fn hear_age(shared: &Shared, number: u64, version: u64, age: u64) {
+pub fn on_age(shared: &Shared, number: u64, version: u64, age: u64) {
     let peer_config = VersionAge { version, age: Duration::from_millis(age) };
     let own_version = shared.basis().config;
     shared.recency.borrow_mut().on_answer(number, own_version, peer_config);
 }
 
 /// Version and age of this gateway's configuration.
-pub fn held(shared: &Shared) -> VersionAge {
+pub fn held_config(shared: &Shared) -> VersionAge {
     let version = shared.basis().config;
     VersionAge { version, age: shared.recency.borrow().age(shared.now()) }
 }
--- a/crates/daemon/src/gateway/limits.rs
+++ b/crates/daemon/src/gateway/limits.rs
@@ -23,7 +23,7 @@
 
 /// Acquires `need` requests of a server's limit, if it has one; false if the server must not be
 /// sent anything now.
-pub async fn take(shared: &Shared, id: &ServerId, need: u64) -> bool {
+pub async fn acquire(shared: &Shared, id: &ServerId, need: u64) -> bool {
     let Some(limit) = shared.limits.borrow().of(id) else {
         return true;
     };
@@ -63,7 +63,7 @@
 }
 
 /// Applies a peer's report of a server's limit.
-pub fn hear(shared: &Shared, report: &LimitUpdate, peer: &str) {
+pub fn on_report(shared: &Shared, report: &LimitUpdate, peer: &str) {
     // Ignored for a server that is already gone, since nothing would remove its limit again.
     let known = shared.roster.borrow().get(&report.server).is_some();
     if known && shared.limits.borrow_mut().on_update(shared.now(), report) {
@@ -75,7 +75,7 @@
 /// known here.
 pub fn learn_from_request(shared: &Shared, key: &LimitKey, limit: Option<Limit>) {
     if let (LimitKey::Server(id), Some(limit)) = (key, limit) {
-        hear(
+        on_report(
             shared,
             &LimitUpdate { server: id.clone(), version: 1, limit: Some(limit) },
             "question",
--- a/crates/daemon/src/gateway/notes.rs
+++ b/crates/daemon/src/gateway/notes.rs
@@ -80,9 +80,9 @@
 
 /// Applies gossip state received from a peer.
 pub fn apply(shared: &Shared, state: &GossipState, peer: &str) {
-    state.words.iter().for_each(|word| quarantine::take(shared, word, Some(peer)));
-    state.leaving.iter().for_each(|id| said::leaving(shared, id, peer));
-    state.limits.iter().for_each(|word| limits::hear(shared, word, peer));
+    state.words.iter().for_each(|word| quarantine::apply_report(shared, word, Some(peer)));
+    state.leaving.iter().for_each(|id| said::on_leaving(shared, id, peer));
+    state.limits.iter().for_each(|word| limits::on_report(shared, word, peer));
 }
 
 /// Checksum of the gossip state; zero if the state is empty.
--- a/crates/daemon/src/gateway/orders.rs
+++ b/crates/daemon/src/gateway/orders.rs
@@ -208,7 +208,7 @@
 
 async fn send(shared: &Shared, order: Order, server: Server, planner: &mut Planner) {
     let req = engine::order(&order);
-    if !limits::take(shared, &server.id, 1).await {
+    if !limits::acquire(shared, &server.id, 1).await {
         planner.refused(&order.to);
         return;
     }
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -187,7 +187,7 @@
         changing: shared.changing_engines.borrow().clone(),
         work: engines.work(),
         notes: notes::checksum(shared),
-        missing: quota::missing(shared),
+        missing: quota::unreachable_gateways(shared),
         digests: Vec::new(),
     }
 }
@@ -226,11 +226,11 @@
                 belief::fetch_newer(&shared, from, Versions { config, roster, fleet });
             }
             Ok(GossipMessage::Ask(ask)) => quota::serve(&shared, from, &ask),
-            Ok(GossipMessage::Answer(answer)) => quota::hear(&shared, answer),
-            Ok(GossipMessage::Unused(key, tokens)) => quota::take_back(&shared, &key, tokens),
-            Ok(GossipMessage::Age(number)) => keys::tell_age(&shared, from, number),
+            Ok(GossipMessage::Answer(answer)) => quota::on_answer(&shared, answer),
+            Ok(GossipMessage::Unused(key, tokens)) => quota::accept_returned(&shared, &key, tokens),
+            Ok(GossipMessage::Age(number)) => keys::send_age(&shared, from, number),
             Ok(GossipMessage::Held(number, version, age)) => {
-                keys::hear_age(&shared, number, version, age)
+                keys::on_age(&shared, number, version, age)
             }
             Ok(GossipMessage::Notes(received)) => {
                 notes::apply(&shared, &received, &from.to_string())
--- a/crates/daemon/src/gateway/pool.rs
+++ b/crates/daemon/src/gateway/pool.rs
@@ -94,13 +94,13 @@
 }
 
 /// An answer whose head has arrived and whose body is unread.
-pub struct Coming {
+pub struct PendingAnswer {
     conn: Conn,
     response: Response<Incoming>,
     head_at: Timestamp,
 }
 
-impl Coming {
+impl PendingAnswer {
     /// When the head arrived; the answer is true as of then, however long its body takes.
     pub fn head_at(&self) -> Timestamp {
         self.head_at
@@ -129,7 +129,7 @@
     }
 
     /// Returns a connection to the pool if it is still open.
-    pub fn give(&self, mut conn: Conn) {
+    pub fn put_back(&self, mut conn: Conn) {
         if conn.sender.is_closed() {
             return;
         }
@@ -150,8 +150,8 @@
         req: Request<Bytes>,
         limit: Duration,
     ) -> Result<(StatusCode, Bytes), ExchangeError> {
-        let pending = self.ask(addr, req, limit).await?;
-        self.finish(pending, limit).await
+        let pending = self.start_call(addr, req, limit).await?;
+        self.finish_call(pending, limit).await
     }
 
     /// Like `call`, and returns the answer's headers too.
@@ -161,33 +161,33 @@
         req: Request<Bytes>,
         limit: Duration,
     ) -> Result<(HeaderMap, StatusCode, Bytes), ExchangeError> {
-        let mut pending = self.ask(addr, req, limit).await?;
+        let mut pending = self.start_call(addr, req, limit).await?;
         let headers = std::mem::take(pending.response.headers_mut());
-        let (status, body) = self.finish(pending, limit).await?;
+        let (status, body) = self.finish_call(pending, limit).await?;
         Ok((headers, status, body))
     }
 
     /// First half of a call: waits for the head of the answer.
-    pub async fn ask(
+    pub async fn start_call(
         &self,
         addr: SocketAddr,
         req: Request<Bytes>,
         limit: Duration,
-    ) -> Result<Coming, ExchangeError> {
+    ) -> Result<PendingAnswer, ExchangeError> {
         let started = compio::time::timeout(limit, self.begin_exchange(addr, req)).await;
         let (conn, response) = started.unwrap_or(Err(ExchangeError::Lost))?;
-        Ok(Coming { conn, response, head_at: self.clock.now() })
+        Ok(PendingAnswer { conn, response, head_at: self.clock.now() })
     }
 
     /// Second half of a call: reads the body; `limit` applies to each part. A limit on the whole
     /// body kept VMs with links of 10 Mbit/s from ever reading a configuration of 1,400 routes: two
     /// of 32 used an old one for more than ten seconds.
-    pub async fn finish(
+    pub async fn finish_call(
         &self,
-        pending: Coming,
+        pending: PendingAnswer,
         limit: Duration,
     ) -> Result<(StatusCode, Bytes), ExchangeError> {
-        let Coming { conn, response, head_at } = pending;
+        let PendingAnswer { conn, response, head_at } = pending;
         let status = response.status();
         let mut body = BytesMut::new();
         let read =
@@ -199,7 +199,7 @@
             tracing::info!(%addr, bytes, ms, whole = read.is_ok(), "slow answer");
         }
         read?;
-        self.give(conn);
+        self.put_back(conn);
         Ok((status, body.freeze()))
     }
 
@@ -219,13 +219,13 @@
         };
         let status = response.status();
         if response.into_body().collect().await.is_ok() {
-            self.give(conn);
+            self.put_back(conn);
         }
         Reachability::Answered(status)
     }
 
     /// Closes idle connections to an address whose server has ended.
-    pub fn forget(&self, addr: SocketAddr) {
+    pub fn close_idle(&self, addr: SocketAddr) {
         self.idle.borrow_mut().remove(&addr);
     }
 
--- a/crates/daemon/src/gateway/quarantine.rs
+++ b/crates/daemon/src/gateway/quarantine.rs
@@ -36,10 +36,10 @@
 use super::watch::Sink;
 
 /// Prefix of the store's keys of confirmed requests.
-pub const PREFIX: &str = "ebonyloft/quarantine/";
+pub const CONFIRMED_PREFIX: &str = "ebonyloft/quarantine/";
 /// Prefix of the store's keys of requests that one more crash would confirm; stored in case all
 /// gateways are lost before.
-pub const SUSPECTS: &str = "ebonyloft/suspects/";
+pub const SUSPECT_PREFIX: &str = "ebonyloft/suspects/";
 /// Timeout of a server's liveness check: about a hundred times the latency between availability
 /// zones.
 const LIVENESS_TIMEOUT: Duration = Duration::from_millis(150);
@@ -55,7 +55,7 @@
 /// Longest such back-off: once the store is back, it stays for a few seconds at least.
 const WRITE_BACKOFF_MAX: Duration = Duration::from_secs(4);
 /// A run that broke off this soon after its first event counts as only just begun.
-pub const EARLY: Duration = Duration::from_millis(1_000);
+pub const EARLY_WINDOW: Duration = Duration::from_millis(1_000);
 
 /// A request digest's record in the store.
 #[derive(Debug, Default, Deserialize, Serialize)]
@@ -135,14 +135,14 @@
 
 /// Is a request confirmed to crash servers? Checked again before each send, since the request may
 /// have waited.
-pub fn is_proved(shared: &Shared, content: &RequestDigest) -> bool {
+pub fn is_confirmed(shared: &Shared, content: &RequestDigest) -> bool {
     let standing = shared.quarantine.borrow().standing(shared.now(), content);
     matches!(standing, QuarantineState::Confirmed(_))
 }
 
 /// How far a run had come when it broke off.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Run {
+pub enum RunStage {
     /// A stream or a prefill that had only just begun.
     Begun,
     /// A stream that had been running for a while.
@@ -157,25 +157,25 @@
     /// The server.
     pub server: &'a Server,
     /// How far the run has come.
-    pub run: Run,
+    pub run: RunStage,
     /// When it was sent.
     pub at: Timestamp,
 }
 
 /// Starts an inquiry into a lost attempt: did its server crash?
-pub fn note_loss(shared: &Shared, intake: &Intake, sent: Sent<'_>) {
+pub fn on_lost(shared: &Shared, intake: &Intake, sent: Sent<'_>) {
     let (now, server) = (shared.now(), sent.server);
     // A server that announced its leaving was not crashed by the request.
     let is_leaving = shared.roster.borrow().has_left(&server.id.name);
     if is_leaving || shared.quarantine.borrow().is_healthy(now, &intake.content) {
         return;
     }
-    let early = sent.run != Run::Advanced;
-    let wait = if sent.run == Run::Call { CALL_PROBE_DELAY } else { STREAM_PROBE_DELAY };
+    let early = sent.run != RunStage::Advanced;
+    let wait = if sent.run == RunStage::Call { CALL_PROBE_DELAY } else { STREAM_PROBE_DELAY };
     let number = shared.draw_number();
     let loss = LostAttempt { content: intake.content, early, sent: sent.at, at: now, number };
     shared.losses.borrow_mut().add(server, loss, wait);
-    if sent.run == Run::Begun {
+    if sent.run == RunStage::Begun {
         publish_fact(shared, intake.content, Fact::Lost(number));
     }
     shared.inquiries.wake_all();
@@ -184,17 +184,17 @@
 /// Handles an attempt abandoned by its caller. If it had only just begun, its server is checked as
 /// well; otherwise a caller that disconnects early could crash one server after another unnoticed.
 /// Other answers of the server usually show that it is alive.
-pub fn note_left(shared: &Shared, intake: &Intake, sent: Sent<'_>) {
-    if sent.run != Run::Advanced {
-        note_loss(shared, intake, Sent { run: Run::Call, ..sent });
+pub fn on_abandoned(shared: &Shared, intake: &Intake, sent: Sent<'_>) {
+    if sent.run != RunStage::Advanced {
+        on_lost(shared, intake, Sent { run: RunStage::Call, ..sent });
     }
 }
 
 /// Handles the outcome of a send: a lost attempt is checked, and a complete answer clears the
 /// request.
-pub fn note_fate(shared: &Shared, intake: &Intake, sent: Sent<'_>, fate: AttemptOutcome) {
+pub fn on_outcome(shared: &Shared, intake: &Intake, sent: Sent<'_>, fate: AttemptOutcome) {
     match fate {
-        AttemptOutcome::Lost => note_loss(shared, intake, sent),
+        AttemptOutcome::Lost => on_lost(shared, intake, sent),
         AttemptOutcome::Answered(status) if status < 500 => on_served(shared, &intake.content),
         AttemptOutcome::Answered(_)
         | AttemptOutcome::Moved
@@ -212,7 +212,7 @@
 
 /// Waits, for a limited time, until it is known whether the server of a lost attempt of this
 /// request crashed.
-pub async fn settled(shared: &Shared, content: &RequestDigest) {
+pub async fn wait_for_inquiry(shared: &Shared, content: &RequestDigest) {
     let until = shared.now().after(INQUIRY_WAIT);
     while shared.now() < until && shared.losses.borrow().is_investigated(content) {
         compio::time::sleep(INQUIRY_POLL).await;
@@ -233,7 +233,7 @@
 }
 
 /// Handles a registration that is gone, or that names another incarnation now.
-pub fn note_gone(shared: &Shared, name: &str) {
+pub fn on_unregistered(shared: &Shared, name: &str) {
     let current = shared.roster.borrow().named(name).map(|s| s.id.clone());
     let ended = shared.losses.borrow_mut().on_crash_except(name, current.as_ref());
     for (id, losses) in ended {
@@ -243,7 +243,7 @@
 
 /// Handles a new registration: any other incarnation at its address has ended, even while the
 /// store's state is not trusted yet.
-pub fn note_joined(shared: &Shared, addr: SocketAddr, id: &ServerId) {
+pub fn on_registered(shared: &Shared, addr: SocketAddr, id: &ServerId) {
     let replaced = shared.losses.borrow().replaced(addr, id);
     replaced.iter().for_each(|previous| on_ended(shared, previous, "address"));
 }
@@ -272,13 +272,13 @@
 
 /// Applies an observation made here and publishes it to all gateways.
 fn publish(shared: &Shared, report: QuarantineUpdate) {
-    take(shared, &report, None);
+    apply_report(shared, &report, None);
     shared.notes.borrow_mut().words.push(report);
     shared.inquiries.wake_all();
 }
 
 /// Applies an observation made here, or reported by a peer or the store.
-pub fn take(shared: &Shared, report: &QuarantineUpdate, peer: Option<&str>) {
+pub fn apply_report(shared: &Shared, report: &QuarantineUpdate, peer: Option<&str>) {
     let change = shared.quarantine.borrow_mut().apply(shared.now(), report);
     let (content, fact, age) = (report.content, &report.fact, report.age);
     match change {
@@ -357,7 +357,7 @@
 
 /// Checks whether a server is alive.
 async fn check_alive(shared: Rc<Shared>, id: ServerId, addr: SocketAddr) {
-    if said::rests(&shared, &id) {
+    if said::is_unavailable(&shared, &id) {
         return;
     }
     let sent = shared.now();
@@ -382,7 +382,7 @@
 
 /// Should the store keep a record of this request?
 fn should_store(shared: &Shared, content: &RequestDigest) -> bool {
-    is_proved(shared, content) || shared.quarantine.borrow().is_nearly_confirmed(content)
+    is_confirmed(shared, content) || shared.quarantine.borrow().is_nearly_confirmed(content)
 }
 
 /// Writes the record of a confirmed request, or of one close to that, to the store; repeated on
@@ -400,9 +400,9 @@
 }
 
 async fn try_store_record(shared: &Shared, content: RequestDigest) -> Result<(), StoreError> {
-    let (prefix, ttl) = match is_proved(shared, &content) {
-        true => (PREFIX, CONFIRMED_TTL),
-        false => (SUSPECTS, SUSPECT_TTL),
+    let (prefix, ttl) = match is_confirmed(shared, &content) {
+        true => (CONFIRMED_PREFIX, CONFIRMED_TTL),
+        false => (SUSPECT_PREFIX, SUSPECT_TTL),
     };
     let key = format!("{prefix}{:016x}{:016x}", content.0, content.1);
     let crashes = shared.quarantine.borrow().crashes(&content).to_vec();
@@ -420,9 +420,9 @@
 }
 
 /// Applies the store's records of confirmed requests and of those close to it.
-pub struct ProofSink(pub Rc<Shared>);
+pub struct QuarantineSink(pub Rc<Shared>);
 
-impl Sink for ProofSink {
+impl Sink for QuarantineSink {
     fn replace(&self, items: Vec<Item>, _revision: u64) {
         items.into_iter().for_each(|item| self.apply(item));
     }
@@ -431,10 +431,10 @@
         let Some(value) = item.value else {
             return;
         };
-        if let Some(content) = item.key.strip_prefix(SUSPECTS).and_then(parse) {
+        if let Some(content) = item.key.strip_prefix(SUSPECT_PREFIX).and_then(parse) {
             return self.suspect(content, &value);
         }
-        let Some(content) = item.key.strip_prefix(PREFIX).and_then(parse) else {
+        let Some(content) = item.key.strip_prefix(CONFIRMED_PREFIX).and_then(parse) else {
             return;
         };
         let fact = match serde_json::from_slice::<Record>(&value) {
@@ -447,14 +447,14 @@
                 );
             }
         };
-        if fact == Fact::Proved && is_proved(&self.0, &content) {
+        if fact == Fact::Proved && is_confirmed(&self.0, &content) {
             return;
         }
-        take(&self.0, &QuarantineUpdate { content, age: 0, fact }, Some("store"));
+        apply_report(&self.0, &QuarantineUpdate { content, age: 0, fact }, Some("store"));
     }
 }
 
-impl ProofSink {
+impl QuarantineSink {
     fn suspect(&self, content: RequestDigest, value: &[u8]) {
         let Ok(record) = serde_json::from_slice::<Record>(value) else {
             return tracing::warn!(%content, "invalid record of a suspected request");
@@ -462,7 +462,7 @@
         for (server, early, at) in record.endings {
             let age = self.0.now().since(at).as_millis() as u64;
             let report = QuarantineUpdate { content, age, fact: Fact::Ended(server, early) };
-            take(&self.0, &report, Some("store"));
+            apply_report(&self.0, &report, Some("store"));
         }
     }
 }
--- a/crates/daemon/src/gateway/quota.rs
+++ b/crates/daemon/src/gateway/quota.rs
@@ -202,7 +202,7 @@
 }
 
 /// Hands an owner's answer to the request that waits for it.
-pub fn hear(shared: &Shared, answer: LeaseResponse) {
+pub fn on_answer(shared: &Shared, answer: LeaseResponse) {
     if let Some(sender) = shared.asked.borrow_mut().remove(&answer.number) {
         // The waiting request may have ended by now; its tokens expire.
         let _ = sender.send(answer.reply);
@@ -216,7 +216,7 @@
         return;
     };
     if owner_name == shared.node().name {
-        return take_back(shared, key, tokens);
+        return accept_returned(shared, key, tokens);
     }
     if let Some(gateway) = shared.fleet.borrow().all().get(&owner_name) {
         shared.post(gateway.addr, GossipMessage::Unused(key.clone(), tokens));
@@ -224,7 +224,7 @@
 }
 
 /// Takes back tokens that a peer did not use.
-pub fn take_back(shared: &Shared, key: &LimitKey, tokens: u64) {
+pub fn accept_returned(shared: &Shared, key: &LimitKey, tokens: u64) {
     if let Some(rate) = rate_of(shared, key, None) {
         let share = granted_share(shared, key, &rate);
         shared.lender.borrow_mut().return_unused(key, tokens, share);
@@ -292,7 +292,7 @@
 /// The owner to ask, among the gateways that this one receives messages from.
 fn owner(shared: &Shared, key: &LimitKey) -> Option<String> {
     let fleet = shared.fleet.borrow();
-    let mut excluded = missing(shared);
+    let mut excluded = unreachable_gateways(shared);
     let silent = shared.silent.borrow();
     excluded.extend(
         silent.iter().filter(|(_, until)| **until > shared.now()).map(|(number, _)| number),
@@ -315,13 +315,13 @@
         };
     }
     let shares = shared.shares.borrow();
-    let own_unreachable = missing(shared);
+    let own_unreachable = unreachable_gateways(shared);
     let views = ObservedViews { now, name: &node.name, own: &own_unreachable, shares: &shares };
     homes.share(&fleet, key, &node.name, &views)
 }
 
 /// Gateways that this one receives no messages from.
-pub fn missing(shared: &Shared) -> UnreachableGateways {
+pub fn unreachable_gateways(shared: &Shared) -> UnreachableGateways {
     let (node, fleet) = (shared.node(), shared.fleet.borrow());
     match shared.scope() {
         Scope::All => shared.shares.borrow().unreachable(shared.now(), &fleet, &node.name),
--- a/crates/daemon/src/gateway/retries.rs
+++ b/crates/daemon/src/gateway/retries.rs
@@ -14,7 +14,7 @@
 }
 
 /// Reserves what the next send may cost; false if too little of the budget is left.
-pub fn afford(shared: &Shared, intake: &Intake, next: NextSend) -> bool {
+pub fn reserve(shared: &Shared, intake: &Intake, next: NextSend) -> bool {
     let mut arrivals = intake.arrivals.get();
     let Some(shortfall) = arrivals.required_retries(next) else {
         return true;
@@ -54,7 +54,7 @@
 }
 
 /// Handles a prompt that an engine accepted; budget that is no longer needed is released.
-pub fn accepted(shared: &Shared, intake: &Intake) {
+pub fn on_accepted(shared: &Shared, intake: &Intake) {
     if update_arrivals(intake, Arrivals::on_prompt_accepted) {
         shared.budget(&intake.service).uncommit();
     }
--- a/crates/daemon/src/gateway/said.rs
+++ b/crates/daemon/src/gateway/said.rs
@@ -24,7 +24,7 @@
     if reply.leaving
         && let Some(id) = answering_server(shared, to, reply)
     {
-        leaving(shared, &id, "answer");
+        on_leaving(shared, &id, "answer");
     }
     if !reply.moved {
         limits::on_answer(shared, to, sent, reply.limit);
@@ -39,7 +39,7 @@
 }
 
 /// Is a backend server paused, or its limit used up?
-pub fn rests(shared: &Shared, id: &ServerId) -> bool {
+pub fn is_unavailable(shared: &Shared, id: &ServerId) -> bool {
     paused_until(shared, id).is_some()
 }
 
@@ -51,7 +51,7 @@
 
 /// When the first of these servers is available again; `None` if one is available now, or if there
 /// are none.
-pub fn soonest<'a>(
+pub fn available_at<'a>(
     shared: &Shared,
     servers: impl Iterator<Item = &'a Server>,
 ) -> Option<Timestamp> {
@@ -60,7 +60,7 @@
 
 /// May a server be sent a request for which its limit was already acquired? Checked right before
 /// each send.
-pub fn takes(shared: &Shared, id: &ServerId) -> bool {
+pub fn accepts_requests(shared: &Shared, id: &ServerId) -> bool {
     let paused = shared.pauses.borrow().until(shared.now(), id).is_some();
     !shared.roster.borrow().has_left(&id.name) && !paused
 }
@@ -77,7 +77,7 @@
 }
 
 /// Handles the announcement, by an answer or by a peer, that an incarnation of a server is leaving.
-pub fn leaving(shared: &Shared, id: &ServerId, from: &str) {
+pub fn on_leaving(shared: &Shared, id: &ServerId, from: &str) {
     if !shared.roster.borrow_mut().on_leaving(id) {
         return;
     }
@@ -100,7 +100,7 @@
     req: Request<Bytes>,
     limit: Duration,
 ) -> Result<(StatusCode, Bytes), ExchangeError> {
-    if !takes(shared, &to.id) {
+    if !accepts_requests(shared, &to.id) {
         tracing::info!(server = %to.id, "not called: the backend server is leaving or paused");
         return Err(ExchangeError::Unsent);
     }
--- a/crates/daemon/src/gateway/send.rs
+++ b/crates/daemon/src/gateway/send.rs
@@ -29,7 +29,7 @@
 }
 
 /// A complete answer.
-pub struct Whole {
+pub struct CompleteAnswer {
     /// HTTP status.
     pub status: StatusCode,
     /// Headers that are returned to the caller.
@@ -58,23 +58,23 @@
     let mut conn = shared.pool.take(to.addr, idle_max).await.map_err(exchange_outcome)?;
     // The server may have announced that it is leaving while the request waited for its prefill,
     // for another zone or for this connection.
-    if !said::takes(shared, &to.id) {
+    if !said::accepts_requests(shared, &to.id) {
         tracing::info!(
             id = intake.id(), server = %to.id, "not sent: the backend server is leaving or paused"
         );
-        shared.pool.give(conn);
+        shared.pool.put_back(conn);
         return Err(AttemptOutcome::Unsent);
     }
-    if quarantine::is_proved(shared, &intake.content) {
+    if quarantine::is_confirmed(shared, &intake.content) {
         tracing::info!(
             id = intake.id(), content = %intake.content, server = %to.id,
             "not sent: confirmed to crash servers"
         );
-        shared.pool.give(conn);
+        shared.pool.put_back(conn);
         return Err(AttemptOutcome::Unsent);
     }
     if !keys::may_send(shared, intake) {
-        shared.pool.give(conn);
+        shared.pool.put_back(conn);
         return Err(AttemptOutcome::Unsent);
     }
     let sent_at = shared.now();
@@ -115,14 +115,14 @@
 }
 
 /// Sends a request and reads its complete answer within `limit`.
-pub async fn whole(
+pub async fn complete_exchange(
     shared: &Shared,
     intake: &Intake,
     to: &Server,
     req: Request<Bytes>,
     limit: Duration,
     expect: Expect,
-) -> (AttemptOutcome, Option<Whole>) {
+) -> (AttemptOutcome, Option<CompleteAnswer>) {
     let attempt = async {
         let head = head(shared, intake, to, req, expect).await?;
         let Head { mut reply, response, conn } = head;
@@ -140,9 +140,9 @@
         if outcome == AttemptOutcome::Lost {
             conn.close();
         } else {
-            shared.pool.give(conn);
+            shared.pool.put_back(conn);
         }
-        Ok((outcome, Whole { status, headers, body, reply }))
+        Ok((outcome, CompleteAnswer { status, headers, body, reply }))
     };
     match compio::time::timeout(limit, attempt).await {
         Ok(Ok((outcome, answer))) => (outcome, Some(answer)),
--- a/crates/daemon/src/gateway/store.rs
+++ b/crates/daemon/src/gateway/store.rs
@@ -8,7 +8,7 @@
 use ebonyloft_platform::store::{self, Age, Item, Lease, Page, StoreError, Write};
 use hyper::{Request, StatusCode};
 
-use super::pool::{Coming, ExchangeError, Pool};
+use super::pool::{ExchangeError, PendingAnswer, Pool};
 
 /// Timeout of a call. The store answers in 4 ms, and some sixty times slower when it is slow.
 pub const CALL_WAIT: Duration = Duration::from_millis(800);
@@ -25,7 +25,7 @@
 /// A watch whose answer has started to arrive.
 pub struct WatchReply {
     /// The answer.
-    pub reply: Coming,
+    pub reply: PendingAnswer,
     /// How long the store was asked to hold the watch open.
     pub wait: Duration,
 }
@@ -87,13 +87,14 @@
     ) -> Result<WatchReply, StoreError> {
         let wait = within.saturating_sub(WATCH_SLACK).max(WATCH_MIN);
         let req = store::watch(prefix, after, wait.as_millis() as u64);
-        let reply = self.pool.ask(self.addr, req, wait + WATCH_SLACK).await.map_err(store_error)?;
+        let reply =
+            self.pool.start_call(self.addr, req, wait + WATCH_SLACK).await.map_err(store_error)?;
         Ok(WatchReply { reply, wait })
     }
 
     /// Reads the body of a watch's answer.
-    pub async fn read_watch(&self, reply: Coming) -> Result<Page, StoreError> {
-        let (status, body) = self.pool.finish(reply, CALL_WAIT).await.map_err(store_error)?;
+    pub async fn read_watch(&self, reply: PendingAnswer) -> Result<Page, StoreError> {
+        let (status, body) = self.pool.finish_call(reply, CALL_WAIT).await.map_err(store_error)?;
         store::read_watch(status, &body)
     }
 
--- a/crates/daemon/src/gateway/stream.rs
+++ b/crates/daemon/src/gateway/stream.rs
@@ -36,7 +36,7 @@
 use super::intake::Intake;
 use super::keys;
 use super::limits;
-use super::quarantine::{self, Run, Sent};
+use super::quarantine::{self, RunStage, Sent};
 use super::retries;
 use super::said;
 use super::send::{self, Expect, Head};
@@ -56,7 +56,7 @@
     /// Refuse the request; the caller may retry after the time, if there is one.
     Refused(Cause, Option<Timestamp>),
     /// Pass on an error response of a backend server.
-    Failed(Box<send::Whole>),
+    Failed(Box<send::CompleteAnswer>),
 }
 
 /// Serves a stream until its end; stops if the caller disconnects or the deadline passes.
@@ -72,11 +72,11 @@
     let mut out = ResponseStream::new(reply);
     let left = intake.ends_at.since(shared.now());
     let work = deliver(shared, intake, &mut state, &mut out);
-    let result = answer::unless_gone(gone, compio::time::timeout(left, work)).await;
+    let result = answer::unless_disconnected(gone, compio::time::timeout(left, work)).await;
     let events = out.batches();
     if let Some((server, at)) = state.open_attempt.take() {
         let run = state.run_phase(shared.now());
-        quarantine::note_left(shared, intake, Sent { server: &server, run, at });
+        quarantine::on_abandoned(shared, intake, Sent { server: &server, run, at });
     }
     let word = send_result(shared, intake, &state, out, result);
     if word == COMPLETE {
@@ -144,7 +144,7 @@
     let mut failure = None;
     let mut cause = Cause::NoServer;
     while state.progress.may_send() {
-        if quarantine::is_proved(shared, &intake.content) {
+        if quarantine::is_confirmed(shared, &intake.content) {
             cause = Cause::Quarantined;
             break;
         }
@@ -152,7 +152,7 @@
             cause = refused;
             break;
         }
-        if !retries::afford(shared, intake, NextSend::Run) {
+        if !retries::reserve(shared, intake, NextSend::Run) {
             cause = Cause::Budget;
             break;
         }
@@ -173,7 +173,7 @@
         state.progress.record(fate);
         let run = state.run_phase(now);
         state.open_attempt = None;
-        quarantine::note_fate(shared, intake, Sent { server: &server, run, at: started_at }, fate);
+        quarantine::on_outcome(shared, intake, Sent { server: &server, run, at: started_at }, fate);
         tracing::info!(
             id = intake.id(), content = %intake.content, server = %server.id, ?fate,
             events = splitter.count(), last = splitter.last_id(), "stream attempt ended"
@@ -190,10 +190,10 @@
         tried.push(server.id.clone());
         match fate {
             AttemptOutcome::Answered(_) => failure = answer,
-            AttemptOutcome::Moved => call::gone(shared, &server.id),
+            AttemptOutcome::Moved => call::on_replaced(shared, &server.id),
             // An engine that asked for a back-off gets no requests until it is over.
             AttemptOutcome::Rejected | AttemptOutcome::Unsent
-                if said::rests(shared, &server.id) =>
+                if said::is_unavailable(shared, &server.id) =>
             {
                 cause = Cause::Overload;
             }
@@ -207,8 +207,8 @@
             }
         }
         splitter.discard_incomplete();
-        if (fate, run) == (AttemptOutcome::Lost, Run::Begun) {
-            quarantine::settled(shared, &intake.content).await;
+        if (fate, run) == (AttemptOutcome::Lost, RunStage::Begun) {
+            quarantine::wait_for_inquiry(shared, &intake.content).await;
         }
     }
     match failure {
@@ -269,7 +269,7 @@
             prefill::run(shared, intake, state).await;
         }
         // The decode engine may have begun to leave while the prompt was read.
-        if said::takes(shared, &server.id) {
+        if said::accepts_requests(shared, &server.id) {
             return Ok(server);
         }
         tracing::info!(
@@ -284,7 +284,7 @@
 async fn pick_plain_server(shared: &Shared, intake: &Intake, tried: &[ServerId]) -> Option<Server> {
     loop {
         let server = call::pick(shared, intake, shared.now(), tried)?;
-        if limits::take(shared, &server.id, 1).await {
+        if limits::acquire(shared, &server.id, 1).await {
             return Some(server);
         }
     }
@@ -298,7 +298,7 @@
     state: &mut StreamState,
     out: &mut ResponseStream,
     splitter: &mut Splitter,
-) -> (AttemptOutcome, Option<send::Whole>) {
+) -> (AttemptOutcome, Option<send::CompleteAnswer>) {
     let now = shared.now();
     let mut req = intake.request(now, &server.id);
     let headers = req.headers_mut();
@@ -336,7 +336,11 @@
 }
 
 /// Reads the whole body of an error response, so that it can be passed on.
-async fn read_failure(shared: &Shared, head: Head, fate: AttemptOutcome) -> Option<send::Whole> {
+async fn read_failure(
+    shared: &Shared,
+    head: Head,
+    fate: AttemptOutcome,
+) -> Option<send::CompleteAnswer> {
     let Head { reply, response, conn } = head;
     let (status, headers) = (response.status(), headers::returned(response.headers()));
     let read = compio::time::timeout(STALL_TIMEOUT, response.into_body().collect()).await;
@@ -345,9 +349,9 @@
         return None;
     };
     if fate != AttemptOutcome::Lost {
-        shared.pool.give(conn);
+        shared.pool.put_back(conn);
     }
-    matches!(fate, AttemptOutcome::Answered(_)).then(|| send::Whole {
+    matches!(fate, AttemptOutcome::Answered(_)).then(|| send::CompleteAnswer {
         status,
         headers,
         body: body.to_bytes(),
--- a/crates/daemon/src/gateway/stream/admission.rs
+++ b/crates/daemon/src/gateway/stream/admission.rs
@@ -96,7 +96,7 @@
     let roster = shared.roster.borrow();
     let engines = roster.ready(&intake.service).filter(|s| s.stage == Some(Stage::Decode));
     let left = engines.filter(|s| !tried.contains(&s.id));
-    said::soonest(shared, left)
+    said::available_at(shared, left)
 }
 
 /// Expected growth of the answer, as learned for its route.
@@ -170,7 +170,7 @@
 ) -> impl Iterator<Item = &'a Server> {
     let zone = shared.zone();
     let here = move |s: &&Server| zone.as_ref().is_none_or(|zone| s.zone == *zone);
-    let open = |s: &&Server| !said::rests(shared, &s.id);
+    let open = |s: &&Server| !said::is_unavailable(shared, &s.id);
     roster.ready(service).filter(|s| s.stage == Some(Stage::Decode)).filter(here).filter(open)
 }
 
@@ -235,7 +235,7 @@
     memory: MemoryForecast,
 ) -> Option<String> {
     let id = &server.id;
-    if !limits::take(shared, id, REQUESTS_PER_ANSWER).await {
+    if !limits::acquire(shared, id, REQUESTS_PER_ANSWER).await {
         return None;
     }
     shared.engines.borrow_mut().on_reserved(id, memory);
@@ -265,7 +265,7 @@
             tracing::info!(server = %id, error = %e, "can't reach engine");
             // An engine that is leaving or asked for a back-off got no request, so it has no
             // fault.
-            if said::takes(shared, id) {
+            if said::accepts_requests(shared, id) {
                 engines.on_fault(now, id);
             }
         }
--- a/crates/daemon/src/gateway/stream/prefill.rs
+++ b/crates/daemon/src/gateway/stream/prefill.rs
@@ -14,7 +14,7 @@
 use crate::gateway::call;
 use crate::gateway::intake::Intake;
 use crate::gateway::limits;
-use crate::gateway::quarantine::{self, Run, Sent};
+use crate::gateway::quarantine::{self, RunStage, Sent};
 use crate::gateway::retries;
 use crate::gateway::said;
 use crate::gateway::send::{self, Expect};
@@ -85,10 +85,10 @@
         let Some((server, ready_at)) = picked else {
             return;
         };
-        if !limits::take(shared, &server.id, 1).await {
+        if !limits::acquire(shared, &server.id, 1).await {
             continue;
         }
-        if !retries::afford(shared, intake, NextSend::Prompt) {
+        if !retries::reserve(shared, intake, NextSend::Prompt) {
             return;
         }
         if prefill_at(shared, intake, state, &server, ready_at, remote_engine.is_some()).await {
@@ -113,7 +113,7 @@
         .ready(service)
         .filter(|s| s.stage == Some(Stage::Prefill) && !engines.faulty(now, &s.id))
         .filter(|s| own.as_ref().is_none_or(|own| s.zone == *own))
-        .filter(|s| !said::rests(shared, &s.id));
+        .filter(|s| !said::is_unavailable(shared, &s.id));
     let (shares, paces) = (shared.shares.borrow(), shared.paces.borrow());
     let work = |id: &_| engines.own_load(id).plus(shares.work(now, id));
     let learned = shared.service_estimates(service);
@@ -148,7 +148,8 @@
     let limit = ready_at.since(now) + PREFILL_SLACK;
     let Basis { config, roster, age } = shared.basis();
     state.open_attempt = Some((server.clone(), now));
-    let (fate, answer) = send::whole(shared, intake, server, req, limit, Expect::Handle).await;
+    let (fate, answer) =
+        send::complete_exchange(shared, intake, server, req, limit, Expect::Handle).await;
     state.open_attempt = None;
     let done = shared.now();
     state.prefilling = None;
@@ -177,20 +178,20 @@
         let (id, addr) = (server.id.clone(), server.addr);
         let until = done.after(handle_lifetime(intake)).before(HANDLE_MARGIN);
         state.prefill_handle = Some(PrefillHandle { id, addr, handle, until });
-        retries::accepted(shared, intake);
+        retries::on_accepted(shared, intake);
         return true;
     }
     // A back-off is no fault of the engine.
-    if !said::rests(shared, &server.id) {
+    if !said::is_unavailable(shared, &server.id) {
         engines.on_fault(done, &server.id);
     }
     drop(engines);
     if fate == AttemptOutcome::Lost {
-        let sent = Sent { server, run: Run::Begun, at: now };
-        quarantine::note_loss(shared, intake, sent);
+        let sent = Sent { server, run: RunStage::Begun, at: now };
+        quarantine::on_lost(shared, intake, sent);
     }
     if fate == AttemptOutcome::Moved {
-        call::gone(shared, &server.id);
+        call::on_replaced(shared, &server.id);
     }
     false
 }
--- a/crates/daemon/src/gateway/stream/relay.rs
+++ b/crates/daemon/src/gateway/stream/relay.rs
@@ -44,7 +44,7 @@
             relay.relay_chunk(&bytes).await;
         }
     }
-    shared.pool.give(conn);
+    shared.pool.put_back(conn);
     AttemptOutcome::Answered(200)
 }
 
--- a/crates/daemon/src/gateway/stream/response.rs
+++ b/crates/daemon/src/gateway/stream/response.rs
@@ -11,14 +11,14 @@
 use hyper::body::Frame;
 use hyper::{HeaderMap, Response, StatusCode};
 
-use crate::gateway::answer::{self, Body, Broken, Cause};
-use crate::gateway::send::Whole;
+use crate::gateway::answer::{self, Body, BodyAborted, Cause};
+use crate::gateway::send::CompleteAnswer;
 
 /// Largest number of event batches buffered for a slow caller; beyond that the backend server is
 /// slowed down.
 const BUFFERED_BATCHES_MAX: usize = 8;
 
-type Sender = mpsc::Sender<Result<Frame<Bytes>, Broken>>;
+type Sender = mpsc::Sender<Result<Frame<Bytes>, BodyAborted>>;
 
 /// The response to a streaming request.
 pub struct ResponseStream {
@@ -69,13 +69,13 @@
     }
 
     /// Sends an error response of a backend server, or aborts a response that has begun.
-    pub fn send_failure(self, answer: Whole) {
+    pub fn send_failure(self, answer: CompleteAnswer) {
         if self.has_begun() {
             return self.abort();
         }
-        let Whole { status, headers, body, .. } = answer;
+        let CompleteAnswer { status, headers, body, .. } = answer;
         let mut this = self;
-        this.send(answer::whole(status, headers, body));
+        this.send(answer::complete(status, headers, body));
     }
 
     /// Sends a refusal, or aborts a response that has begun.
@@ -89,12 +89,12 @@
 
     fn abort(mut self) {
         if let Some(mut sender) = self.events.take()
-            && sender.try_send(Err(Broken)).is_err()
+            && sender.try_send(Err(BodyAborted)).is_err()
         {
             // The channel is full: the task waits until the body's reader has made room for the
             // error.
             compio::runtime::spawn(async move {
-                let _ = sender.send(Err(Broken)).await;
+                let _ = sender.send(Err(BodyAborted)).await;
             })
             .detach();
         }
--- a/crates/daemon/src/gateway/stream/state.rs
+++ b/crates/daemon/src/gateway/stream/state.rs
@@ -14,7 +14,7 @@
 use hyper::{HeaderMap, Request};
 
 use super::overflow::RemoteReservation;
-use crate::gateway::quarantine::{EARLY, Run};
+use crate::gateway::quarantine::{EARLY_WINDOW, RunStage};
 use crate::gateway::said;
 use crate::gateway::shared::Shared;
 
@@ -91,10 +91,10 @@
     }
 
     /// How far the current attempt has come.
-    pub fn run_phase(&self, now: Timestamp) -> Run {
+    pub fn run_phase(&self, now: Timestamp) -> RunStage {
         match self.first_event_at {
-            Some(at) if now >= at.after(EARLY) => Run::Advanced,
-            _ => Run::Begun,
+            Some(at) if now >= at.after(EARLY_WINDOW) => RunStage::Advanced,
+            _ => RunStage::Begun,
         }
     }
 
@@ -179,7 +179,7 @@
 }
 
 fn send_release(shared: &Shared, id: &ServerId, addr: SocketAddr, req: Request<Bytes>) {
-    if said::rests(shared, id) || shared.limits.borrow().of(id).is_some() {
+    if said::is_unavailable(shared, id) || shared.limits.borrow().of(id).is_some() {
         // The engine asked for a back-off or has a request limit, and the memory is freed when it
         // expires.
         return;
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -163,7 +163,7 @@
 fn watch_timeout(shared: &Shared) -> Duration {
     let (now, silence) = (shared.now(), shared.node().bounds.staleness_bound());
     let list = shared.fresh.borrow().known_at().after(silence).since(now);
-    match keys::bound(shared) {
+    match keys::revoke_bound(shared) {
         Some(bound) => list.min(shared.recency.borrow().confirm_by(bound).since(now)),
         None => list,
     }
@@ -193,8 +193,8 @@
         Prefixes(vec![
             (CONFIG_PREFIX, Box::new(ConfigSink(shared.clone()))),
             (servers::PREFIX, Box::new(RosterSink(shared.clone()))),
-            (quarantine::PREFIX, Box::new(quarantine::ProofSink(shared.clone()))),
-            (quarantine::SUSPECTS, Box::new(quarantine::ProofSink(shared.clone()))),
+            (quarantine::CONFIRMED_PREFIX, Box::new(quarantine::QuarantineSink(shared.clone()))),
+            (quarantine::SUSPECT_PREFIX, Box::new(quarantine::QuarantineSink(shared.clone()))),
             (register::PREFIX, Box::new(register::FleetSink(shared.clone()))),
         ])
     }
@@ -303,14 +303,14 @@
     }
     let known = shared.roster.borrow().named(name).map(|s| (s.addr, s.id.born));
     if let (Effect::Reborn, Some((addr, _))) = (effect, known) {
-        shared.pool.forget(addr);
+        shared.pool.close_idle(addr);
     }
     if matches!(effect, Effect::Gone | Effect::Reborn) {
-        quarantine::note_gone(shared, name);
+        quarantine::on_unregistered(shared, name);
     }
     let joined_server = shared.roster.borrow().named(name).map(|s| (s.addr, s.id.clone()));
     if let (Effect::Joined, Some((addr, id))) = (effect, joined_server) {
-        quarantine::note_joined(shared, addr, &id);
+        quarantine::on_registered(shared, addr, &id);
     }
     let born = known.map(|(_, born)| born);
     tracing::info!(server = name, ?effect, born, revision, "backend server registration changed");
--- a/crates/standins/src/fleet/caller.rs
+++ b/crates/standins/src/fleet/caller.rs
@@ -131,7 +131,7 @@
             match body.frame().await {
                 None => {
                     answer.whole = true;
-                    self.pool.give(conn);
+                    self.pool.put_back(conn);
                     break;
                 }
                 Some(Err(_)) => break,
--- a/crates/standins/src/fleet/runner.rs
+++ b/crates/standins/src/fleet/runner.rs
@@ -12,7 +12,7 @@
 use ebonyloft_platform::serve::{self, Answered, RunnerCall, Work};
 use ebonyloft_router::catalog::{Server, ServerId, Stage};
 use ebonyloft_router::outcome::Load;
-use ebonyloftd::gateway::answer::{Body, Broken, full};
+use ebonyloftd::gateway::answer::{Body, BodyAborted, full};
 use ebonyloftd::http;
 use futures_channel::mpsc;
 use futures_util::SinkExt;
@@ -515,7 +515,7 @@
         response
     }
 
-    async fn stream(&self, work: Work, mut out: mpsc::Sender<Result<Frame<Bytes>, Broken>>) {
+    async fn stream(&self, work: Work, mut out: mpsc::Sender<Result<Frame<Bytes>, BodyAborted>>) {
         let run = Run::begin(self, work.prompt);
         let first = work.after.map_or(1, |a| a + 1);
         if work.source.is_none() {
@@ -537,7 +537,7 @@
             if last {
                 compio::time::sleep(self.spec.pace).await;
                 // A caller who is gone needs no sign of the break.
-                let _ = out.send(Err(Broken)).await;
+                let _ = out.send(Err(BodyAborted)).await;
                 return run.close();
             }
         }
@@ -630,7 +630,8 @@
 
 /// An answer whose body does not come.
 fn silent(headers: HeaderMap) -> Response<Body> {
-    let body = StreamBody::new(futures_util::stream::pending::<Result<Frame<Bytes>, Broken>>());
+    let body =
+        StreamBody::new(futures_util::stream::pending::<Result<Frame<Bytes>, BodyAborted>>());
     let mut response = Response::new(body.boxed_unsync());
     *response.headers_mut() = headers;
     response
@@ -640,7 +641,7 @@
 fn broken(headers: HeaderMap) -> Response<Body> {
     let (mut sender, receiver) = mpsc::channel(1);
     // The channel is new and empty.
-    let _ = sender.try_send(Err(Broken));
+    let _ = sender.try_send(Err(BodyAborted));
     let mut response = Response::new(StreamBody::new(receiver).boxed_unsync());
     *response.headers_mut() = headers;
     response
