--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -5,24 +5,24 @@
 //! `ebonyloft-platform`.
 
 pub mod answer;
-pub mod belief;
 pub mod call;
 pub mod digest;
+pub mod gossip;
 pub mod ingress;
 pub mod intake;
 pub mod keys;
 pub mod limits;
-pub mod notes;
 pub mod orders;
 pub mod peers;
 pub mod pool;
 pub mod quarantine;
 pub mod quota;
-pub mod register;
+pub mod registration;
 pub mod retries;
 pub mod said;
 pub mod send;
 pub mod shared;
+pub mod state_sync;
 pub mod store;
 pub mod stream;
 pub mod uploads;
@@ -94,17 +94,17 @@
     stop.await;
     let stopped_at = shared.now();
     shared.stopping.set(Some(stopped_at));
-    tracing::info!(open = shared.open.get(), "stopping");
+    tracing::info!(open = shared.open_requests.get(), "stopping");
     compio::time::sleep(MIN_SHUTDOWN).await;
     let end = stopped_at.after(node.bounds.grace).before(CUTOFF_MARGIN);
-    while shared.open.get() > 0 && shared.now() < end {
+    while shared.open_requests.get() > 0 && shared.now() < end {
         compio::time::sleep(STOP_POLL).await;
     }
     // Callers were accepted until now, since other gateways may be stopping too. Idle connections
     // are closed first, the others after their answers.
     let _ = close.send(());
     compio::time::sleep(STOP_POLL).await;
-    tracing::info!(open = shared.open.get(), "stopped");
+    tracing::info!(open = shared.open_requests.get(), "stopped");
     Ok(())
 }
 
@@ -129,16 +129,16 @@
     let page = TcpListener::bind((node.ip, options.metrics_port)).await?;
     spawn(http::serve(page, move |_| metrics_page(registry.clone()), never_closing()));
     spawn(ingress::serve(shared.clone(), callers, closing));
-    let sink = Box::new(watch::Prefixes::new(shared));
-    spawn(watch::follow(shared.clone(), watch::EVERYTHING, sink));
-    spawn(register::keep(shared.clone()));
+    let sink = Box::new(watch::PrefixRouter::new(shared));
+    spawn(watch::follow(shared.clone(), watch::ALL_KEYS, sink));
+    spawn(registration::keep_registered(shared.clone()));
     spawn(peers::serve(shared.clone(), peers));
-    spawn(peers::tell(shared.clone(), socket.clone()));
-    spawn(peers::tell_zones(shared.clone(), socket.clone()));
-    spawn(notes::tell(shared.clone(), socket.clone()));
-    spawn(peers::post(shared.clone(), socket.clone()));
+    spawn(peers::send_load_reports(shared.clone(), socket.clone()));
+    spawn(peers::send_zone_summaries(shared.clone(), socket.clone()));
+    spawn(gossip::broadcast(shared.clone(), socket.clone()));
+    spawn(peers::send_messages(shared.clone(), socket.clone()));
     spawn(keys::keep_fresh(shared.clone()));
-    spawn(peers::hear(shared.clone(), socket));
+    spawn(peers::receive(shared.clone(), socket));
     spawn(quarantine::run(shared.clone()));
     spawn(orders::run(shared.clone()));
     spawn(upkeep(shared.clone(), options.file.clone()));
@@ -171,44 +171,44 @@
     loop {
         compio::time::sleep(UPKEEP_INTERVAL).await;
         round += 1;
-        shared.judge_role();
+        shared.update_role();
         // The clock is read only here. A gateway that learns the store's state from peers dates its
         // view by when it applies their message; compared with an earlier timestamp, a missing
         // registration would never count as gone.
         let now = shared.now();
-        if shared.fresh.borrow().is_trusted(now) {
+        if shared.store_state.borrow().is_trusted(now) {
             for server in shared.roster.borrow_mut().remove_missing() {
                 tracing::info!(server, "backend server is gone: it was not registered again");
             }
         }
         shared.pool.expire(now);
-        shared.shares.borrow_mut().expire(now);
-        shared.digests.borrow_mut().expire(now);
+        shared.load_reports.borrow_mut().expire(now);
+        shared.zone_summaries.borrow_mut().expire(now);
         shared.fleet.borrow_mut().expire(now);
-        shared.drift.borrow_mut().expire(now);
-        shared.pauses.borrow_mut().expire(now);
+        shared.divergence.borrow_mut().expire(now);
+        shared.back_offs.borrow_mut().expire(now);
         quota::expire(&shared);
         shared.measure_memory();
         let roster = shared.roster.borrow();
-        shared.plain.borrow_mut().retain(|id| roster.get(id).is_some());
+        shared.plain_servers.borrow_mut().retain(|id| roster.get(id).is_some());
         shared.engines.borrow_mut().retain(|id| roster.get(id).is_some());
-        shared.paces.borrow_mut().retain(|id| roster.get(id).is_some());
+        shared.speed_factors.borrow_mut().retain(|id| roster.get(id).is_some());
         shared.limits.borrow_mut().retain(|id| roster.get(id).is_some());
         drop(roster);
         if let Some(config) = shared.config() {
             let has_route = |name: &str| config.routes.iter().any(|r| r.name == name);
-            shared.patience.borrow_mut().retain(has_route);
+            shared.caller_deadlines.borrow_mut().retain(has_route);
             let has_service = |name: &str| config.service(name).is_some();
-            shared.learned.borrow_mut().retain(has_route, has_service);
-            shared.lines.borrow_mut().retain(|name, _| has_service(name));
+            shared.traffic_stats.borrow_mut().retain(has_route, has_service);
+            shared.admission_queues.borrow_mut().retain(|name, _| has_service(name));
         }
         let dropped = logs::dropped();
         if dropped > logged {
             tracing::warn!(lines = dropped - logged, "log lines dropped: too many in one second");
             logged = dropped;
         }
-        shared.metrics.gauge("gateway.open", shared.open.get() as u64);
-        shared.metrics.gauge("gateway.list_age_ms", shared.basis().age);
+        shared.metrics.gauge("gateway.open", shared.open_requests.get() as u64);
+        shared.metrics.gauge("gateway.list_age_ms", shared.snapshot_version().age);
         shared.metrics.gauge("gateway.waiting", shared.engines.borrow().waiting() as u64);
         if round.is_multiple_of(RELOAD_ROUNDS) {
             reload(&shared, &file);
--- a/crates/daemon/src/gateway/call.rs
+++ b/crates/daemon/src/gateway/call.rs
@@ -20,7 +20,7 @@
 use super::retries;
 use super::said;
 use super::send::{self, CompleteAnswer, Expect};
-use super::shared::{Basis, Shared};
+use super::shared::{Shared, SnapshotVersion};
 
 /// Fraction of the route's goal after which an idempotent call is sent to another server; the rest
 /// is enough for a call of average length.
@@ -43,43 +43,47 @@
     fn close(self, shared: &Shared, intake: &Intake) {
         let service = &intake.service;
         if let Some((server, sent)) = self.send {
-            shared.plain.borrow_mut().on_abandoned(&server.id, sent);
-            shared.line(service).on_abandoned(sent);
+            shared.plain_servers.borrow_mut().on_abandoned(&server.id, sent);
+            shared.admission_queue(service).on_abandoned(sent);
             let sent = Sent { server: &server, run: RunStage::Call, at: sent };
             quarantine::on_abandoned(shared, intake, sent);
         }
         if let Some(ticket) = self.ticket {
-            shared.line(service).leave(ticket);
+            shared.admission_queue(service).leave(ticket);
         }
-        shared.line_waiters.wake_all();
+        shared.queue_waiters.wake_all();
     }
 }
 
 /// Waits in the admission queue; false if the call cannot meet its goal.
 async fn wait_for_admission(shared: &Shared, intake: &Intake, flight: &mut InFlight) -> bool {
     let joined = shared.now();
-    let ticket = shared.line(&intake.service).enqueue(joined, intake.goal_at, intake.route().goal);
+    let ticket = shared.admission_queue(&intake.service).enqueue(
+        joined,
+        intake.goal_at,
+        intake.route().goal,
+    );
     flight.ticket = Some(ticket);
     let turn = loop {
         let now = shared.now();
-        let turn = shared.line(&intake.service).decide(now, ticket);
+        let turn = shared.admission_queue(&intake.service).decide(now, ticket);
         let QueueDecision::Wait(until) = turn else {
             break turn;
         };
         let timer = std::pin::pin!(compio::time::sleep(until.since(now)));
-        select(shared.line_waiters.wake(), timer).await;
+        select(shared.queue_waiters.wait(), timer).await;
     };
     flight.ticket = None;
-    shared.line(&intake.service).leave(ticket);
+    shared.admission_queue(&intake.service).leave(ticket);
     if turn == QueueDecision::Go {
         return true;
     }
     let (window, waiting) = {
-        let line = shared.line(&intake.service);
+        let line = shared.admission_queue(&intake.service);
         (line.concurrency_limit(), line.waiting())
     };
     let ms = shared.now().since(joined).as_millis() as u64;
-    let Basis { config, roster, age } = shared.basis();
+    let SnapshotVersion { config, roster, age } = shared.snapshot_version();
     tracing::info!(
         id = intake.id(),
         ms,
@@ -137,7 +141,7 @@
         }
         // A failed call is retried only if the service has free capacity, so that it displaces no
         // other call.
-        if last_failure.is_some() && !shared.line(&intake.service).has_room(now) {
+        if last_failure.is_some() && !shared.admission_queue(&intake.service).has_room(now) {
             break;
         }
         if !retries::reserve(shared, intake, NextSend::Run) {
@@ -206,8 +210,8 @@
 ) -> Option<Server> {
     let (node, roster) = (shared.node(), shared.roster.borrow());
     let servers = roster.ready(&intake.service).filter(|s| !said::is_unavailable(shared, &s.id));
-    let plain = shared.plain.borrow();
-    plain.pick(now, &node.zone, servers, tried, || shared.draw()).cloned()
+    let plain = shared.plain_servers.borrow();
+    plain.pick(now, &node.zone, servers, tried, || shared.random_fraction()).cloned()
 }
 
 /// Time limit of this send: all the time left if no other server can be tried.
@@ -236,20 +240,20 @@
     flight: &mut InFlight,
 ) -> (AttemptOutcome, Option<CompleteAnswer>) {
     let sent = shared.now();
-    shared.plain.borrow_mut().on_sent(sent, &to.id);
-    shared.line(&intake.service).on_sent(sent);
+    shared.plain_servers.borrow_mut().on_sent(sent, &to.id);
+    shared.admission_queue(&intake.service).on_sent(sent);
     flight.send = Some((to.clone(), sent));
     let req = intake.request(sent, &to.id);
     let (outcome, answer) =
         send::complete_exchange(shared, intake, to, req, limit, Expect::Signature).await;
     let now = shared.now();
     let load = answer.as_ref().and_then(|a| a.reply.load);
-    shared.plain.borrow_mut().on_ended(now, &to.id, sent, outcome, load);
-    shared.line(&intake.service).on_ended(now, sent, outcome, load);
-    shared.line_waiters.wake_all();
+    shared.plain_servers.borrow_mut().on_ended(now, &to.id, sent, outcome, load);
+    shared.admission_queue(&intake.service).on_ended(now, sent, outcome, load);
+    shared.queue_waiters.wake_all();
     flight.send = None;
     let ms = now.since(sent).as_millis() as u64;
-    let Basis { config, roster, age } = shared.basis();
+    let SnapshotVersion { config, roster, age } = shared.snapshot_version();
     tracing::info!(
         id = intake.id(), content = %intake.content, server = %to.id, fate = ?outcome, ms,
         running = load.map(|l| l.running), waiting = load.map(|l| l.waiting), config, roster,
@@ -275,7 +279,8 @@
 }
 
 fn refuse(shared: &Shared, intake: &Intake, cause: Cause, verdict: Verdict) -> Response<Body> {
-    let retry = intake.route().goal.mul_f64(RETRY_AFTER_FRACTION * (1.0 + shared.draw()));
+    let retry =
+        intake.route().goal.mul_f64(RETRY_AFTER_FRACTION * (1.0 + shared.random_fraction()));
     refuse_with_retry(shared, intake, cause, verdict, retry)
 }
 
@@ -296,7 +301,7 @@
     verdict: Verdict,
     retry: Duration,
 ) -> Response<Body> {
-    let Basis { config, roster, age } = shared.basis();
+    let SnapshotVersion { config, roster, age } = shared.snapshot_version();
     tracing::info!(
         id = intake.id(), service = %intake.service, ?cause, ?verdict, config, roster, age,
         "request refused"
--- a/crates/daemon/src/gateway/digest.rs
+++ b/crates/daemon/src/gateway/digest.rs
@@ -20,7 +20,7 @@
 
     /// Digest of a request; `account` is empty if the request has none. Each part is preceded by
     /// its length, so that two different requests never hash the same bytes.
-    pub fn content(
+    pub fn request_digest(
         &self,
         account: &str,
         method: &Method,
--- a/crates/daemon/src/gateway/notes.rs
+++ b/crates/daemon/src/gateway/gossip.rs
@@ -30,12 +30,12 @@
 const RESEND_DELAY: Duration = Duration::from_millis(120);
 
 /// Broadcasts local changes to all gateways, each datagram twice in case that one is lost.
-pub async fn tell(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
+pub async fn broadcast(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
     loop {
-        let state = shared.notes.take();
+        let state = shared.outgoing_gossip.take();
         if state.is_empty() {
             // The sender lives as long as the process, so this can't fail.
-            let _ = shared.inquiries.wake().await;
+            let _ = shared.background_waiters.wait().await;
             continue;
         }
         for part in split(state) {
@@ -96,7 +96,7 @@
 /// for long.
 pub fn compare_checksum(shared: &Rc<Shared>, peer: &str, from: SocketAddr, peer_checksum: u64) {
     let (now, same) = (shared.now(), peer_checksum == checksum(shared));
-    if shared.drift.borrow_mut().observe(now, peer, same) {
+    if shared.divergence.borrow_mut().observe(now, peer, same) {
         compio::runtime::spawn(exchange(shared.clone(), from)).detach();
     }
 }
--- a/crates/daemon/src/gateway/ingress.rs
+++ b/crates/daemon/src/gateway/ingress.rs
@@ -27,7 +27,7 @@
 
 use super::answer::{self, Body, Cause};
 use super::intake::Intake;
-use super::shared::{Basis, Shared};
+use super::shared::{Shared, SnapshotVersion};
 use super::{call, keys, quarantine, quota, stream};
 use crate::http;
 
@@ -126,11 +126,11 @@
     let refuse = |cause: Cause| {
         let id = caller.attempt.as_deref().unwrap_or("-");
         shared.metrics.count("gateway.refused.unread", 1);
-        let away = shared.fresh.borrow().is_away();
+        let away = shared.store_state.borrow().is_away();
         let is_transient = matches!(cause, Cause::NotReady | Cause::Unconfirmed);
         let time_left = caller.patience.filter(|_| is_transient);
-        let retry_after = retry_after::wait(time_left, away, shared.draw());
-        let Basis { config, roster, age } = shared.basis();
+        let retry_after = retry_after::wait(time_left, away, shared.random_fraction());
+        let SnapshotVersion { config, roster, age } = shared.snapshot_version();
         let ms = retry_after.as_millis() as u64;
         tracing::info!(id, ?cause, away, ms, config, roster, age, "request refused unread");
         let mut response = answer::refusal(cause, Verdict::NotRun, Some(retry_after));
@@ -175,7 +175,8 @@
         Err(_) => return Err(refuse(Cause::Malformed)),
     };
     let account_name = account.as_ref().map_or("", Account::as_str);
-    let content = shared.digester.content(account_name, &parts.method, &host, &parts.uri, &body);
+    let content =
+        shared.digester.request_digest(account_name, &parts.method, &host, &parts.uri, &body);
     let times = time_bounds(shared, came_at, &config.routes[route], &caller);
     let target = Target { config, route, service };
     let mut intake = build_intake(times, target, parts, body, caller, content);
@@ -197,7 +198,7 @@
                 Credential::Absent | Credential::Malformed => String::new(),
             };
             let id = caller.attempt.as_deref().unwrap_or("-");
-            let age = shared.recency.borrow().age(shared.now()).as_millis() as u64;
+            let age = shared.config_staleness.borrow().age(shared.now()).as_millis() as u64;
             tracing::info!(
                 id,
                 ?cause,
@@ -246,7 +247,7 @@
     caller: &headers::Caller,
 ) -> TimeBounds {
     let caller_timeout = caller.patience.unwrap_or(route.timeout);
-    let mut deadlines = shared.patience.borrow_mut();
+    let mut deadlines = shared.caller_deadlines.borrow_mut();
     let spent = deadlines.time_spent(came_at, &route.name, route.timeout, caller_timeout);
     TimeBounds {
         came_at,
@@ -297,7 +298,7 @@
 fn choose_service(shared: &Shared, config: &Config, route: usize) -> Option<String> {
     let route = &config.routes[route];
     let roster = shared.roster.borrow();
-    let chosen = routes::service(route, shared.draw())?;
+    let chosen = routes::service(route, shared.random_fraction())?;
     let has_server = |name: &str| roster.ready(name).next().is_some();
     if has_server(chosen) {
         return Some(chosen.to_owned());
@@ -324,7 +325,7 @@
     let (token, gone) = oneshot::channel();
     let (reply, answer) = oneshot::channel();
     let task_shared = shared.clone();
-    shared.open.set(shared.open.get() + 1);
+    shared.open_requests.set(shared.open_requests.get() + 1);
     compio::runtime::spawn(async move {
         match intake.route().kind {
             Kind::Stream => stream::run(&task_shared, &intake, gone, reply).await,
@@ -336,7 +337,7 @@
         if let Some(probe) = probe {
             probe.close(&task_shared);
         }
-        task_shared.open.set(task_shared.open.get() - 1);
+        task_shared.open_requests.set(task_shared.open_requests.get() - 1);
     })
     .detach();
     match answer.await {
--- a/crates/daemon/src/gateway/keys.rs
+++ b/crates/daemon/src/gateway/keys.rs
@@ -18,7 +18,7 @@
 
 use super::answer::Cause;
 use super::intake::Intake;
-use super::shared::{Basis, Shared};
+use super::shared::{Shared, SnapshotVersion};
 
 /// Interval between checks of the configuration's age.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -41,7 +41,8 @@
         Identity::Account(_) => Err(Cause::Unconfirmed),
         Identity::Unidentified => Err(Cause::Unauthorized),
         Identity::Unknown => {
-            let age = shared.recency.borrow().age(shared.now()).saturating_sub(WATCH_LAG_MAX);
+            let age =
+                shared.config_staleness.borrow().age(shared.now()).saturating_sub(WATCH_LAG_MAX);
             let is_certain = age + UNKNOWN_KEY_MARGIN < shared.node().bounds.apply;
             Err(if is_certain { Cause::Unauthorized } else { Cause::Unconfirmed })
         }
@@ -74,8 +75,8 @@
     let Err(cause) = check(shared, intake) else {
         return true;
     };
-    let Basis { config, .. } = shared.basis();
-    let age = shared.recency.borrow().age(shared.now()).as_millis() as u64;
+    let SnapshotVersion { config, .. } = shared.snapshot_version();
+    let age = shared.config_staleness.borrow().age(shared.now()).as_millis() as u64;
     tracing::info!(
         id = intake.id(),
         account = intake.account.as_ref().map(AccountName::as_str),
@@ -89,7 +90,7 @@
 
 /// Is the configuration fresh enough for requests with keys?
 pub fn is_fresh(shared: &Shared) -> bool {
-    shared.recency.borrow().is_fresh(shared.now(), shared.node().bounds.revoke)
+    shared.config_staleness.borrow().is_fresh(shared.now(), shared.node().bounds.revoke)
 }
 
 /// Time within which a revoked key must stop running work; `None` without such a bound or without
@@ -107,17 +108,17 @@
         let Some(bound) = revoke_bound(&shared) else {
             continue;
         };
-        let (now, number) = (shared.now(), shared.draw_number());
-        if shared.recency.borrow_mut().ask(now, bound, number) {
+        let (now, number) = (shared.now(), shared.random_id());
+        if shared.config_staleness.borrow_mut().ask(now, bound, number) {
             for addr in peers_to_ask(&shared) {
-                shared.post(addr, GossipMessage::Age(number));
+                shared.queue_message(addr, GossipMessage::Age(number));
             }
         }
-        let age = shared.recency.borrow().age(shared.now()).as_millis() as u64;
+        let age = shared.config_staleness.borrow().age(shared.now()).as_millis() as u64;
         shared.metrics.gauge("gateway.config_age_ms", age);
         if is_fresh(&shared) != allowed {
             allowed = !allowed;
-            let config = shared.basis().config;
+            let config = shared.snapshot_version().config;
             tracing::info!(
                 held = allowed,
                 config,
@@ -132,13 +133,13 @@
 /// none does.
 fn peers_to_ask(shared: &Shared) -> Vec<SocketAddr> {
     let (now, node) = (shared.now(), shared.node());
-    let (fleet, shares) = (shared.fleet.borrow(), shared.shares.borrow());
+    let (fleet, shares) = (shared.fleet.borrow(), shared.load_reports.borrow());
     let others: Vec<_> = fleet.all().iter().filter(|(name, _)| **name != node.name).collect();
     let follows_store =
         |name: &str| matches!(shares.link(now, name), Some(StoreLink::Heard { .. }));
     let followers: Vec<_> = others.iter().filter(|(name, _)| follows_store(name)).collect();
     let same_zone: Vec<_> = followers.iter().filter(|(_, g)| g.zone == node.zone).collect();
-    let random_index = |len: usize| (shared.draw() * len as f64) as usize;
+    let random_index = |len: usize| (shared.random_fraction() * len as f64) as usize;
     let mut peers = Vec::new();
     if let Some((_, gateway)) = same_zone.get(random_index(same_zone.len())) {
         peers.push(gateway.addr);
@@ -156,18 +157,18 @@
 /// Answers a peer that asks how old the configuration is here.
 pub fn send_age(shared: &Shared, to: SocketAddr, number: u64) {
     let VersionAge { version, age } = held_config(shared);
-    shared.post(to, GossipMessage::Held(number, version, age.as_millis() as u64 + 1));
+    shared.queue_message(to, GossipMessage::Held(number, version, age.as_millis() as u64 + 1));
 }
 
 /// Handles a peer's answer about the age of its configuration.
 pub fn on_age(shared: &Shared, number: u64, version: u64, age: u64) {
     let peer_config = VersionAge { version, age: Duration::from_millis(age) };
-    let own_version = shared.basis().config;
-    shared.recency.borrow_mut().on_answer(number, own_version, peer_config);
+    let own_version = shared.snapshot_version().config;
+    shared.config_staleness.borrow_mut().on_answer(number, own_version, peer_config);
 }
 
 /// Version and age of this gateway's configuration.
 pub fn held_config(shared: &Shared) -> VersionAge {
-    let version = shared.basis().config;
-    VersionAge { version, age: shared.recency.borrow().age(shared.now()) }
+    let version = shared.snapshot_version().config;
+    VersionAge { version, age: shared.config_staleness.borrow().age(shared.now()) }
 }
--- a/crates/daemon/src/gateway/limits.rs
+++ b/crates/daemon/src/gateway/limits.rs
@@ -12,7 +12,7 @@
 use ebonyloft_router::quota::LimitKey;
 
 use super::quota::{self, Shortage};
-use super::shared::{Basis, Shared};
+use super::shared::{Shared, SnapshotVersion};
 
 /// How long a server is skipped if no owner of its limit answers: by then another gateway owns the
 /// limit, or the next request for tokens gets through.
@@ -34,7 +34,7 @@
             Shortage::Over(at) => at.max(shared.now().after(BACKOFF_MIN)),
             Shortage::Unknown => shared.now().after(UNKNOWN_BACKOFF),
         };
-        shared.borrower.borrow_mut().on_exhausted(&key, until, until);
+        shared.token_leases.borrow_mut().on_exhausted(&key, until, until);
         tracing::info!(
             server = %id, limit = limit.0, need, short = ?shortage,
             "backend server skipped: its limit is used up or its owner silent"
@@ -48,7 +48,7 @@
 pub fn used_up_until(shared: &Shared, id: &ServerId) -> Option<Timestamp> {
     shared.limits.borrow().of(id)?;
     let (until, _) =
-        shared.borrower.borrow().exhausted(shared.now(), &LimitKey::Server(id.clone()))?;
+        shared.token_leases.borrow().exhausted(shared.now(), &LimitKey::Server(id.clone()))?;
     Some(until)
 }
 
@@ -57,8 +57,8 @@
     let update = shared.limits.borrow_mut().on_answer(shared.now(), id, sent, limit);
     if let Some(report) = update {
         log_change(shared, &report, "answer");
-        shared.notes.borrow_mut().limits.push(report);
-        shared.inquiries.wake_all();
+        shared.outgoing_gossip.borrow_mut().limits.push(report);
+        shared.background_waiters.wake_all();
     }
 }
 
@@ -84,11 +84,11 @@
 }
 
 fn log_change(shared: &Shared, report: &LimitUpdate, from: &str) {
-    let Basis { roster, age, .. } = shared.basis();
+    let SnapshotVersion { roster, age, .. } = shared.snapshot_version();
     let LimitUpdate { server, version, limit } = report;
     let limit = limit.map(|limit| limit.0);
     tracing::info!(%server, version, limit, from, roster, age, "limit of a backend server changed");
     shared.metrics.count("gateway.limit.changed", 1);
     shared.wake_all();
-    shared.line_waiters.wake_all();
+    shared.queue_waiters.wake_all();
 }
--- a/crates/daemon/src/gateway/orders.rs
+++ b/crates/daemon/src/gateway/orders.rs
@@ -37,7 +37,7 @@
 pub async fn run(shared: Rc<Shared>) {
     let mut planner = Planner::default();
     loop {
-        compio::time::sleep(CHECK_INTERVAL.mul_f64(0.8 + 0.4 * shared.draw())).await;
+        compio::time::sleep(CHECK_INTERVAL.mul_f64(0.8 + 0.4 * shared.random_fraction())).await;
         if shared.is_stopping() || !is_eligible(&shared) || !shared.lock_available.get() {
             continue;
         }
@@ -52,7 +52,7 @@
             Ok(None) => compio::time::sleep(RETRY_DELAY).await,
             Err(e) => {
                 tracing::info!(error = %e, "can't acquire leadership");
-                compio::time::sleep(RETRY_DELAY.mul_f64(0.5 + shared.draw())).await;
+                compio::time::sleep(RETRY_DELAY.mul_f64(0.5 + shared.random_fraction())).await;
             }
         }
     }
@@ -142,7 +142,7 @@
 }
 
 async fn release(shared: &Shared, leadership: Leadership) {
-    if let Err(e) = shared.store.end(leadership.lease).await {
+    if let Err(e) = shared.store.revoke(leadership.lease).await {
         tracing::info!(
             fence = leadership.fence, error = %e,
             "can't revoke leadership lease; it expires by itself"
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -21,11 +21,11 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
 
-use super::belief;
+use super::gossip;
 use super::keys;
-use super::notes;
 use super::quota;
 use super::shared::Shared;
+use super::state_sync;
 use super::stream::{self, incoming, overflow};
 use crate::http;
 
@@ -42,7 +42,7 @@
 const DATAGRAM_MAX: usize = 8 << 10;
 
 /// Sends load reports to the gateways that use the same engines.
-pub async fn tell(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
+pub async fn send_load_reports(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
     let incarnation = shared.now().0;
     let mut seq = 0;
     let mut summaries_sent_at = Timestamp::default();
@@ -59,7 +59,7 @@
         let now = shared.now();
         if now.since(summaries_sent_at) >= DIGEST_PAUSE && shared.role.borrow().follows() {
             summaries_sent_at = now;
-            report.digests = shared.digests.borrow().passed_on(now).cloned().collect();
+            report.digests = shared.zone_summaries.borrow().passed_on(now).cloned().collect();
         }
         let idle = report.work.is_empty() && report.waiting == 0 && report.changing.is_empty();
         if idle && !seq.is_multiple_of(IDLE_ROUNDS) {
@@ -76,7 +76,7 @@
 }
 
 /// Sends the messages that are meant for a single peer.
-pub async fn post(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
+pub async fn send_messages(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
     let Some(mut messages) = shared.take_outbox() else {
         return;
     };
@@ -117,7 +117,7 @@
 }
 
 /// Sends summaries of this zone to other zones while this gateway is a zone leader.
-pub async fn tell_zones(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
+pub async fn send_zone_summaries(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
     let incarnation = shared.now().0;
     let mut seq = 0;
     loop {
@@ -140,7 +140,8 @@
 /// Addresses of the leaders of other zones: those that rank first, and those that sent a summary
 /// lately.
 fn leaders_of_other_zones(shared: &Shared) -> Vec<SocketAddr> {
-    let (node, fleet, summaries) = (shared.node(), shared.fleet.borrow(), shared.digests.borrow());
+    let (node, fleet, summaries) =
+        (shared.node(), shared.fleet.borrow(), shared.zone_summaries.borrow());
     let senders = summaries.passed_on(shared.now()).map(|d| d.addr);
     let ranked = fleet.zone_leaders().filter(|g| g.zone != node.zone).map(|g| g.addr);
     let all: BTreeSet<SocketAddr> = senders.chain(ranked).collect();
@@ -149,7 +150,7 @@
 
 fn own_summary(shared: &Shared, incarnation: u64, seq: u64) -> ZoneSummary {
     let node = shared.node();
-    let Versions { config, roster, fleet } = belief::versions(shared);
+    let Versions { config, roster, fleet } = state_sync::versions(shared);
     ZoneSummary {
         name: node.name.clone(),
         zone: node.zone.clone(),
@@ -159,7 +160,7 @@
         config,
         roster,
         fleet,
-        notes: notes::checksum(shared),
+        notes: gossip::checksum(shared),
         rooms: capacities(shared),
     }
 }
@@ -174,7 +175,7 @@
 
 fn own_report(shared: &Shared, incarnation: u64, seq: u64) -> LoadReport {
     let engines = shared.engines.borrow();
-    let Versions { config, roster, fleet } = belief::versions(shared);
+    let Versions { config, roster, fleet } = state_sync::versions(shared);
     LoadReport {
         name: shared.node().name.clone(),
         life: incarnation,
@@ -186,7 +187,7 @@
         waiting: engines.waiting() as u32,
         changing: shared.changing_engines.borrow().clone(),
         work: engines.work(),
-        notes: notes::checksum(shared),
+        notes: gossip::checksum(shared),
         missing: quota::unreachable_gateways(shared),
         digests: Vec::new(),
     }
@@ -197,13 +198,15 @@
 fn store_link(shared: &Shared) -> StoreLink {
     let is_useful = shared.role.borrow().follows() && shared.roster.borrow().is_complete();
     match is_useful {
-        true => shared.fresh.borrow().link(shared.now(), shared.node().bounds.staleness_bound()),
+        true => {
+            shared.store_state.borrow().link(shared.now(), shared.node().bounds.staleness_bound())
+        }
         false => StoreLink::Indirect,
     }
 }
 
 /// Receives datagrams from peers.
-pub async fn hear(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
+pub async fn receive(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
     let mut buffer = Vec::with_capacity(DATAGRAM_MAX);
     loop {
         buffer.clear();
@@ -221,9 +224,9 @@
             Ok(GossipMessage::Share(report)) => on_load_report(&shared, from, report),
             Ok(GossipMessage::Digest(summary)) => {
                 let ZoneSummary { config, roster, fleet, .. } = summary;
-                notes::compare_checksum(&shared, &summary.name, from, summary.notes);
-                shared.digests.borrow_mut().hear(shared.now(), summary);
-                belief::fetch_newer(&shared, from, Versions { config, roster, fleet });
+                gossip::compare_checksum(&shared, &summary.name, from, summary.notes);
+                shared.zone_summaries.borrow_mut().hear(shared.now(), summary);
+                state_sync::fetch_newer(&shared, from, Versions { config, roster, fleet });
             }
             Ok(GossipMessage::Ask(ask)) => quota::serve(&shared, from, &ask),
             Ok(GossipMessage::Answer(answer)) => quota::on_answer(&shared, answer),
@@ -233,7 +236,7 @@
                 keys::on_age(&shared, number, version, age)
             }
             Ok(GossipMessage::Notes(received)) => {
-                notes::apply(&shared, &received, &from.to_string())
+                gossip::apply(&shared, &received, &from.to_string())
             }
             Err(e) => tracing::warn!(%from, len, error = %e, "can't decode datagram"),
         }
@@ -242,15 +245,15 @@
 
 fn on_load_report(shared: &Rc<Shared>, from: SocketAddr, report: LoadReport) {
     let LoadReport { config, roster, fleet, .. } = report;
-    notes::compare_checksum(shared, &report.name, from, report.notes);
+    gossip::compare_checksum(shared, &report.name, from, report.notes);
     shared.back_off(&report.changing);
     let mut report = report;
     for summary in report.digests.drain(..).filter(|d| d.zone != shared.node().zone) {
-        shared.digests.borrow_mut().hear(shared.now(), summary);
+        shared.zone_summaries.borrow_mut().hear(shared.now(), summary);
     }
-    shared.shares.borrow_mut().hear(shared.now(), report);
-    shared.judge_role();
-    belief::fetch_newer(shared, from, Versions { config, roster, fleet });
+    shared.load_reports.borrow_mut().hear(shared.now(), report);
+    shared.update_role();
+    state_sync::fetch_newer(shared, from, Versions { config, roster, fleet });
 }
 
 /// Serves HTTP requests of peers.
@@ -265,8 +268,8 @@
         return incoming::serve(shared, req).await;
     }
     match path {
-        notes::PATH => notes::handle_exchange(shared, req).await,
-        belief::PATH => belief::handle_request(&shared, req.uri().query()),
+        gossip::PATH => gossip::handle_exchange(shared, req).await,
+        state_sync::PATH => state_sync::handle_request(&shared, req.uri().query()),
         _ => http::response(StatusCode::NOT_FOUND, "text/plain", http::full("not here\n")),
     }
 }
--- a/crates/daemon/src/gateway/quarantine.rs
+++ b/crates/daemon/src/gateway/quarantine.rs
@@ -32,7 +32,7 @@
 use super::intake::Intake;
 use super::pool::Reachability;
 use super::said;
-use super::shared::{Basis, Shared};
+use super::shared::{Shared, SnapshotVersion};
 use super::watch::Sink;
 
 /// Prefix of the store's keys of confirmed requests.
@@ -115,7 +115,7 @@
     let (cause, until) = match standing {
         QuarantineState::Free => return Ok(None),
         QuarantineState::Suspect => {
-            let probe = Probe { content: intake.content, number: shared.draw_number() };
+            let probe = Probe { content: intake.content, number: shared.random_id() };
             publish_fact(shared, probe.content, Fact::Trying(probe.number));
             return Ok(Some(probe));
         }
@@ -123,7 +123,7 @@
         QuarantineState::Confirmed(until) => (Cause::Quarantined, until),
     };
     let endings = shared.quarantine.borrow().crashes(&intake.content).len();
-    let Basis { config, roster, age } = shared.basis();
+    let SnapshotVersion { config, roster, age } = shared.snapshot_version();
     let ms = until.since(now).as_millis() as u64;
     tracing::info!(
         id = intake.id(), content = %intake.content, ?cause, endings, ms, config, roster, age,
@@ -172,13 +172,13 @@
     }
     let early = sent.run != RunStage::Advanced;
     let wait = if sent.run == RunStage::Call { CALL_PROBE_DELAY } else { STREAM_PROBE_DELAY };
-    let number = shared.draw_number();
+    let number = shared.random_id();
     let loss = LostAttempt { content: intake.content, early, sent: sent.at, at: now, number };
-    shared.losses.borrow_mut().add(server, loss, wait);
+    shared.lost_attempts.borrow_mut().add(server, loss, wait);
     if sent.run == RunStage::Begun {
         publish_fact(shared, intake.content, Fact::Lost(number));
     }
-    shared.inquiries.wake_all();
+    shared.background_waiters.wake_all();
 }
 
 /// Handles an attempt abandoned by its caller. If it had only just begun, its server is checked as
@@ -214,28 +214,28 @@
 /// request crashed.
 pub async fn wait_for_inquiry(shared: &Shared, content: &RequestDigest) {
     let until = shared.now().after(INQUIRY_WAIT);
-    while shared.now() < until && shared.losses.borrow().is_investigated(content) {
+    while shared.now() < until && shared.lost_attempts.borrow().is_investigated(content) {
         compio::time::sleep(INQUIRY_POLL).await;
     }
 }
 
 /// Handles an answer to what was sent at `sent`, which shows that the server was alive.
 pub fn on_alive(shared: &Shared, id: &ServerId, sent: Timestamp) {
-    let cleared = shared.losses.borrow_mut().on_answer(id, sent);
+    let cleared = shared.lost_attempts.borrow_mut().on_answer(id, sent);
     let early = cleared.iter().filter(|loss| loss.early);
     early.for_each(|loss| publish_fact(shared, loss.content, Fact::Over(loss.number)));
 }
 
 /// Handles the end of a server's incarnation that did not announce its leaving.
 pub fn on_ended(shared: &Shared, id: &ServerId, how: &'static str) {
-    let losses = shared.losses.borrow_mut().on_crash(id);
+    let losses = shared.lost_attempts.borrow_mut().on_crash(id);
     record_crashes(shared, id, losses, how);
 }
 
 /// Handles a registration that is gone, or that names another incarnation now.
 pub fn on_unregistered(shared: &Shared, name: &str) {
     let current = shared.roster.borrow().named(name).map(|s| s.id.clone());
-    let ended = shared.losses.borrow_mut().on_crash_except(name, current.as_ref());
+    let ended = shared.lost_attempts.borrow_mut().on_crash_except(name, current.as_ref());
     for (id, losses) in ended {
         record_crashes(shared, &id, losses, "registration");
     }
@@ -244,7 +244,7 @@
 /// Handles a new registration: any other incarnation at its address has ended, even while the
 /// store's state is not trusted yet.
 pub fn on_registered(shared: &Shared, addr: SocketAddr, id: &ServerId) {
-    let replaced = shared.losses.borrow().replaced(addr, id);
+    let replaced = shared.lost_attempts.borrow().replaced(addr, id);
     replaced.iter().for_each(|previous| on_ended(shared, previous, "address"));
 }
 
@@ -273,8 +273,8 @@
 /// Applies an observation made here and publishes it to all gateways.
 fn publish(shared: &Shared, report: QuarantineUpdate) {
     apply_report(shared, &report, None);
-    shared.notes.borrow_mut().words.push(report);
-    shared.inquiries.wake_all();
+    shared.outgoing_gossip.borrow_mut().words.push(report);
+    shared.background_waiters.wake_all();
 }
 
 /// Applies an observation made here, or reported by a peer or the store.
@@ -290,7 +290,7 @@
             );
             let close_to_confirmed = shared.quarantine.borrow().is_nearly_confirmed(&content);
             if close_to_confirmed && (peer.is_none() || is_first_gateway(shared)) {
-                shared.proofs.borrow_mut().push(content);
+                shared.unsaved_confirmations.borrow_mut().push(content);
             }
         }
         Change::Confirmed => {
@@ -302,7 +302,7 @@
             );
             shared.metrics.count("gateway.quarantine.proved", 1);
             if peer.is_none() || is_first_gateway(shared) {
-                shared.proofs.borrow_mut().push(content);
+                shared.unsaved_confirmations.borrow_mut().push(content);
             }
         }
         Change::Cleared => {
@@ -321,10 +321,13 @@
 pub async fn run(shared: Rc<Shared>) {
     loop {
         let now = shared.now();
-        let next_check =
-            shared.losses.borrow().next_probe_at().map_or(UPKEEP_INTERVAL, |at| at.since(now));
+        let next_check = shared
+            .lost_attempts
+            .borrow()
+            .next_probe_at()
+            .map_or(UPKEEP_INTERVAL, |at| at.since(now));
         let timer = std::pin::pin!(compio::time::sleep(next_check.min(UPKEEP_INTERVAL)));
-        if let Either::Left(_) = select(shared.inquiries.wake(), timer).await {
+        if let Either::Left(_) = select(shared.background_waiters.wait(), timer).await {
             start_checks(&shared);
             continue;
         }
@@ -334,17 +337,17 @@
 }
 
 fn start_checks(shared: &Rc<Shared>) {
-    for (id, addr) in shared.losses.borrow_mut().due_probes(shared.now()) {
+    for (id, addr) in shared.lost_attempts.borrow_mut().due_probes(shared.now()) {
         compio::runtime::spawn(check_alive(shared.clone(), id, addr)).detach();
     }
-    for content in shared.proofs.take() {
+    for content in shared.unsaved_confirmations.take() {
         compio::runtime::spawn(store_record(shared.clone(), content)).detach();
     }
 }
 
 fn upkeep(shared: &Shared) {
     let now = shared.now();
-    for (server, loss) in shared.losses.borrow_mut().expire(now) {
+    for (server, loss) in shared.lost_attempts.borrow_mut().expire(now) {
         tracing::info!(content = %loss.content, %server, "cannot tell whether the server crashed");
     }
     for content in shared.quarantine.borrow_mut().expire(now) {
@@ -369,7 +372,7 @@
         Ok(Reachability::Refused) => ProbeResult::Nobody,
         Ok(Reachability::Broken) | Err(_) => ProbeResult::Silence,
     };
-    let ended = shared.losses.borrow_mut().on_probe_result(&id, found);
+    let ended = shared.lost_attempts.borrow_mut().on_probe_result(&id, found);
     tracing::info!(server = %id, ?found, ended, "liveness of a backend server checked");
     shared.metrics.count("gateway.quarantine.asked", 1);
     if found == ProbeResult::Alive {
@@ -394,7 +397,7 @@
             Ok(()) | Err(StoreError::Conflict) => return,
             Err(e) => tracing::info!(%content, error = %e, "quarantine record not written"),
         }
-        compio::time::sleep(backoff.mul_f64(0.5 + shared.draw())).await;
+        compio::time::sleep(backoff.mul_f64(0.5 + shared.random_fraction())).await;
         backoff = (backoff * 2).min(WRITE_BACKOFF_MAX);
     }
 }
@@ -414,7 +417,7 @@
     let write = Write { key: &key, value: &value, lease: lease.id };
     let written = shared.store.txn(&[(&key, 0)], &[write]).await;
     if matches!(written, Err(StoreError::Conflict)) {
-        shared.store.end(lease.id).await?;
+        shared.store.revoke(lease.id).await?;
     }
     written.map(drop)
 }
--- a/crates/daemon/src/gateway/quota.rs
+++ b/crates/daemon/src/gateway/quota.rs
@@ -28,7 +28,7 @@
 use super::answer::{self, Body, Cause};
 use super::intake::Intake;
 use super::limits;
-use super::shared::{Basis, Shared};
+use super::shared::{Shared, SnapshotVersion};
 
 /// Longest wait for an owner's answer: about ten times the round trip.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(40);
@@ -56,7 +56,7 @@
     /// Ends the charge; the tokens of a request that did not run are given back.
     pub fn close(self, shared: &Shared, ran: bool) {
         if !ran {
-            shared.borrower.borrow_mut().restore(shared.now(), &self.key, self.tokens);
+            shared.token_leases.borrow_mut().restore(shared.now(), &self.key, self.tokens);
         }
     }
 }
@@ -94,7 +94,8 @@
         Ok(()) => Ok(Some(Charge { key, tokens })),
         Err(Shortage::Over(retry_at)) => Err(refuse(shared, intake, Cause::OverQuota, retry_at)),
         Err(Shortage::Unknown) => {
-            let retry_at = shared.now().after(OWNER_LOST_RETRY.mul_f64(0.5 + shared.draw()));
+            let retry_at =
+                shared.now().after(OWNER_LOST_RETRY.mul_f64(0.5 + shared.random_fraction()));
             Err(refuse(shared, intake, Cause::QuotaUnknown, retry_at))
         }
     }
@@ -109,23 +110,23 @@
     limit: Option<Limit>,
     attempts: usize,
 ) -> Result<(), Shortage> {
-    if shared.borrower.borrow_mut().spend(shared.now(), key, need) {
+    if shared.token_leases.borrow_mut().spend(shared.now(), key, need) {
         return Ok(());
     }
     let mut unanswered = 0;
     // Every attempt has the same number, so that an owner whose answer was lost grants nothing
     // more.
-    let more = shared.borrower.borrow().prefetch(key);
-    let ask = LeaseRequest { number: shared.draw_number(), key: key.clone(), need, more, limit };
+    let more = shared.token_leases.borrow().prefetch(key);
+    let ask = LeaseRequest { number: shared.random_id(), key: key.clone(), need, more, limit };
     let asked_at = shared.now();
     for _ in 0..attempts {
-        let used_up = shared.borrower.borrow().exhausted(shared.now(), key);
+        let used_up = shared.token_leases.borrow().exhausted(shared.now(), key);
         if let Some((_, retry_at)) = used_up {
             return Err(Shortage::Over(retry_at));
         }
         match ask_owner(shared, &ask).await {
             Some(LeaseDecision::Lent(tokens)) => {
-                let mut borrower = shared.borrower.borrow_mut();
+                let mut borrower = shared.token_leases.borrow_mut();
                 borrower.on_granted(key, asked_at, tokens);
                 if borrower.spend_granted(shared.now(), key, need) {
                     return Ok(());
@@ -134,7 +135,7 @@
             Some(LeaseDecision::Over { room, back }) => {
                 let now = shared.now();
                 let after_ms = |ms: u32| now.after(Duration::from_millis(ms.into()));
-                shared.borrower.borrow_mut().on_exhausted(key, after_ms(room), after_ms(back));
+                shared.token_leases.borrow_mut().on_exhausted(key, after_ms(room), after_ms(back));
                 return Err(Shortage::Over(after_ms(back)));
             }
             Some(LeaseDecision::Elsewhere) if attempts > 1 => {
@@ -153,7 +154,7 @@
 fn refuse(shared: &Shared, intake: &Intake, cause: Cause, retry_at: Timestamp) -> Refused {
     let account = intake.account.as_ref().map(AccountName::as_str);
     let ms = retry_at.since(shared.now()).as_millis() as u64;
-    let Basis { config, roster, age } = shared.basis();
+    let SnapshotVersion { config, roster, age } = shared.snapshot_version();
     tracing::info!(
         id = intake.id(),
         account,
@@ -181,10 +182,10 @@
     }
     let addr = shared.fleet.borrow().all().get(&owner_name)?.addr;
     let (sender, reply) = oneshot::channel();
-    shared.asked.borrow_mut().insert(ask.number, sender);
-    shared.post(addr, GossipMessage::Ask(ask.clone()));
+    shared.pending_asks.borrow_mut().insert(ask.number, sender);
+    shared.queue_message(addr, GossipMessage::Ask(ask.clone()));
     let reply = compio::time::timeout(OWNER_TIMEOUT, reply).await;
-    shared.asked.borrow_mut().remove(&ask.number);
+    shared.pending_asks.borrow_mut().remove(&ask.number);
     reply.ok()?.ok()
 }
 
@@ -192,18 +193,18 @@
 fn skip_owner(shared: &Shared, key: &LimitKey, owner_name: &str) {
     tracing::info!(?key, home = owner_name, "owner of a quota or limit does not answer");
     let until = shared.now().after(SILENT_BACKOFF);
-    shared.silent.borrow_mut().insert(gateway_number(owner_name), until);
+    shared.unresponsive_owners.borrow_mut().insert(gateway_number(owner_name), until);
 }
 
 /// Answers a peer's request for tokens.
 pub fn serve(shared: &Shared, from: SocketAddr, ask: &LeaseRequest) {
     let reply = grant(shared, ask);
-    shared.post(from, GossipMessage::Answer(LeaseResponse { number: ask.number, reply }));
+    shared.queue_message(from, GossipMessage::Answer(LeaseResponse { number: ask.number, reply }));
 }
 
 /// Hands an owner's answer to the request that waits for it.
 pub fn on_answer(shared: &Shared, answer: LeaseResponse) {
-    if let Some(sender) = shared.asked.borrow_mut().remove(&answer.number) {
+    if let Some(sender) = shared.pending_asks.borrow_mut().remove(&answer.number) {
         // The waiting request may have ended by now; its tokens expire.
         let _ = sender.send(answer.reply);
     }
@@ -219,7 +220,7 @@
         return accept_returned(shared, key, tokens);
     }
     if let Some(gateway) = shared.fleet.borrow().all().get(&owner_name) {
-        shared.post(gateway.addr, GossipMessage::Unused(key.clone(), tokens));
+        shared.queue_message(gateway.addr, GossipMessage::Unused(key.clone(), tokens));
     }
 }
 
@@ -227,7 +228,7 @@
 pub fn accept_returned(shared: &Shared, key: &LimitKey, tokens: u64) {
     if let Some(rate) = rate_of(shared, key, None) {
         let share = granted_share(shared, key, &rate);
-        shared.lender.borrow_mut().return_unused(key, tokens, share);
+        shared.lease_issuer.borrow_mut().return_unused(key, tokens, share);
     }
 }
 
@@ -239,13 +240,13 @@
     let (now, node) = (shared.now(), shared.node());
     let share = granted_share(shared, &ask.key, &rate);
     let fleet = shared.fleet.borrow();
-    let ranked = shared.homes.borrow_mut().ranked(&fleet, &ask.key);
+    let ranked = shared.quota_owners.borrow_mut().ranked(&fleet, &ask.key);
     let is_first = ranked.first() == Some(&node.name);
-    let mut lender = shared.lender.borrow_mut();
+    let mut lender = shared.lease_issuer.borrow_mut();
     lender.tick(now, fleet.edition());
     let reply = lender.grant(now, ask, &rate, share, is_first);
     let level = lender.level(&ask.key).unwrap_or_default();
-    let config = shared.basis().config;
+    let config = shared.snapshot_version().config;
     match reply {
         LeaseDecision::Lent(_) => shared.metrics.count("gateway.quota.lent", 1),
         _ => tracing::info!(
@@ -293,17 +294,17 @@
 fn owner(shared: &Shared, key: &LimitKey) -> Option<String> {
     let fleet = shared.fleet.borrow();
     let mut excluded = unreachable_gateways(shared);
-    let silent = shared.silent.borrow();
+    let silent = shared.unresponsive_owners.borrow();
     excluded.extend(
         silent.iter().filter(|(_, until)| **until > shared.now()).map(|(number, _)| number),
     );
-    shared.homes.borrow_mut().owner(&fleet, key, &excluded)
+    shared.quota_owners.borrow_mut().owner(&fleet, key, &excluded)
 }
 
 /// The share of a quota or limit that this gateway grants.
 fn granted_share(shared: &Shared, key: &LimitKey, rate: &Rate) -> f64 {
     let (now, node, fleet) = (shared.now(), shared.node(), shared.fleet.borrow());
-    let mut homes = shared.homes.borrow_mut();
+    let mut homes = shared.quota_owners.borrow_mut();
     if shared.scope() == Scope::Zone {
         // Gateways of other zones are not observed here: the first in rank grants everything, and
         // its standby the tolerated excess.
@@ -314,7 +315,7 @@
             _ => 0.0,
         };
     }
-    let shares = shared.shares.borrow();
+    let shares = shared.load_reports.borrow();
     let own_unreachable = unreachable_gateways(shared);
     let views = ObservedViews { now, name: &node.name, own: &own_unreachable, shares: &shares };
     homes.share(&fleet, key, &node.name, &views)
@@ -324,7 +325,7 @@
 pub fn unreachable_gateways(shared: &Shared) -> UnreachableGateways {
     let (node, fleet) = (shared.node(), shared.fleet.borrow());
     match shared.scope() {
-        Scope::All => shared.shares.borrow().unreachable(shared.now(), &fleet, &node.name),
+        Scope::All => shared.load_reports.borrow().unreachable(shared.now(), &fleet, &node.name),
         Scope::Zone => UnreachableGateways::new(),
     }
 }
@@ -333,15 +334,15 @@
 /// no longer used.
 pub fn expire(shared: &Shared) {
     let now = shared.now();
-    let unused = shared.borrower.borrow_mut().take_expiring(now, EXPIRY_MARGIN);
+    let unused = shared.token_leases.borrow_mut().take_expiring(now, EXPIRY_MARGIN);
     unused.iter().for_each(|(key, tokens)| return_unused(shared, key, *tokens));
-    shared.borrower.borrow_mut().expire(now);
-    shared.lender.borrow_mut().tick(now, shared.fleet.borrow().edition());
+    shared.token_leases.borrow_mut().expire(now);
+    shared.lease_issuer.borrow_mut().tick(now, shared.fleet.borrow().edition());
     let is_granted = |key: &LimitKey| {
         rate_of(shared, key, None).is_some_and(|rate| granted_share(shared, key, &rate) > 0.0)
     };
-    shared.lender.borrow_mut().retain(is_granted);
-    shared.silent.borrow_mut().retain(|_, until| *until > now);
+    shared.lease_issuer.borrow_mut().retain(is_granted);
+    shared.unresponsive_owners.borrow_mut().retain(|_, until| *until > now);
 }
 
 /// Unreachable gateways as reported by each peer, with this gateway's own view.
--- a/crates/daemon/src/gateway/register.rs
+++ b/crates/daemon/src/gateway/registration.rs
@@ -72,7 +72,7 @@
 }
 
 /// Registers this gateway and keeps the registration alive.
-pub async fn keep(shared: Rc<Shared>) {
+pub async fn keep_registered(shared: Rc<Shared>) {
     let node = shared.node();
     let key = format!("{GATEWAY_PREFIX}{}", node.name);
     let addr = (node.ip, node.peer_port).into();
@@ -94,7 +94,7 @@
                 }
             }
         }
-        compio::time::sleep(RENEW_INTERVAL.mul_f64(0.9 + 0.2 * shared.draw())).await;
+        compio::time::sleep(RENEW_INTERVAL.mul_f64(0.9 + 0.2 * shared.random_fraction())).await;
     }
 }
 
--- a/crates/daemon/src/gateway/retries.rs
+++ b/crates/daemon/src/gateway/retries.rs
@@ -10,7 +10,7 @@
 /// Starts a request, which adds to its service's budget.
 pub fn begin(shared: &Shared, intake: &Intake) {
     let (now, node) = (shared.now(), shared.node());
-    shared.budget(&intake.service).on_request(now, &node.bounds);
+    shared.retry_budget(&intake.service).on_request(now, &node.bounds);
 }
 
 /// Reserves what the next send may cost; false if too little of the budget is left.
@@ -19,8 +19,8 @@
     let Some(shortfall) = arrivals.required_retries(next) else {
         return true;
     };
-    let (now, node, entries) = (shared.now(), shared.node(), shared.entries());
-    let mut budget = shared.budget(&intake.service);
+    let (now, node, entries) = (shared.now(), shared.node(), shared.gateway_count());
+    let mut budget = shared.retry_budget(&intake.service);
     let granted = budget.reserve(now, &node.bounds, entries, shortfall);
     let (requests, extras, reserved) = budget.counts();
     if granted {
@@ -42,30 +42,30 @@
 /// Commits the reserved budget as a request is sent.
 pub fn commit(shared: &Shared, intake: &Intake) {
     if update_arrivals(intake, Arrivals::send) {
-        shared.budget(&intake.service).commit(shared.now());
+        shared.retry_budget(&intake.service).commit(shared.now());
     }
 }
 
 /// Undoes the commit of a send that reached no server.
 pub fn undo_commit(shared: &Shared, intake: &Intake) {
     if update_arrivals(intake, Arrivals::on_undelivered) {
-        shared.budget(&intake.service).uncommit();
+        shared.retry_budget(&intake.service).uncommit();
     }
 }
 
 /// Handles a prompt that an engine accepted; budget that is no longer needed is released.
 pub fn on_accepted(shared: &Shared, intake: &Intake) {
     if update_arrivals(intake, Arrivals::on_prompt_accepted) {
-        shared.budget(&intake.service).uncommit();
+        shared.retry_budget(&intake.service).uncommit();
     }
     let unneeded = update_arrivals(intake, Arrivals::drop_unneeded);
-    shared.budget(&intake.service).release(unneeded);
+    shared.retry_budget(&intake.service).release(unneeded);
 }
 
 /// Ends a request and releases what it still has reserved.
 pub fn close(shared: &Shared, intake: &Intake) {
     let reserved = intake.arrivals.take().finish();
-    shared.budget(&intake.service).release(reserved);
+    shared.retry_budget(&intake.service).release(reserved);
 }
 
 fn update_arrivals<T>(intake: &Intake, step: impl FnOnce(&mut Arrivals) -> T) -> T {
--- a/crates/daemon/src/gateway/said.rs
+++ b/crates/daemon/src/gateway/said.rs
@@ -17,7 +17,7 @@
 use super::limits;
 use super::pool::ExchangeError;
 use super::quarantine;
-use super::shared::{Basis, Shared};
+use super::shared::{Shared, SnapshotVersion};
 
 /// Applies the announcements in the head of an answer to something sent at `sent`.
 pub fn on_answer(shared: &Shared, to: &ServerId, sent: Timestamp, reply: &Reply) {
@@ -31,7 +31,7 @@
     }
     if let Some(pause) = reply.pause.filter(|_| !reply.moved) {
         let now = shared.now();
-        let (until, as_said) = shared.pauses.borrow_mut().record(now, to, pause);
+        let (until, as_said) = shared.back_offs.borrow_mut().record(now, to, pause);
         let ms = until.since(now).as_millis() as u64;
         tracing::info!(server = %to, ms, ?pause, as_said, "backend server asked for a pause");
         shared.metrics.count("gateway.paused", 1);
@@ -45,7 +45,7 @@
 
 /// Until when the server is paused or its limit used up.
 fn paused_until(shared: &Shared, id: &ServerId) -> Option<Timestamp> {
-    let paused = shared.pauses.borrow().until(shared.now(), id);
+    let paused = shared.back_offs.borrow().until(shared.now(), id);
     paused.max(limits::used_up_until(shared, id))
 }
 
@@ -61,7 +61,7 @@
 /// May a server be sent a request for which its limit was already acquired? Checked right before
 /// each send.
 pub fn accepts_requests(shared: &Shared, id: &ServerId) -> bool {
-    let paused = shared.pauses.borrow().until(shared.now(), id).is_some();
+    let paused = shared.back_offs.borrow().until(shared.now(), id).is_some();
     !shared.roster.borrow().has_left(&id.name) && !paused
 }
 
@@ -81,15 +81,15 @@
     if !shared.roster.borrow_mut().on_leaving(id) {
         return;
     }
-    let Basis { roster, age, .. } = shared.basis();
+    let SnapshotVersion { roster, age, .. } = shared.snapshot_version();
     tracing::info!(server = %id, from, roster, age, "backend server announced that it is leaving");
     shared.metrics.count("gateway.left_by_answer", 1);
     if from == "answer" {
-        shared.notes.borrow_mut().leaving.push(id.clone());
-        shared.inquiries.wake_all();
+        shared.outgoing_gossip.borrow_mut().leaving.push(id.clone());
+        shared.background_waiters.wake_all();
     }
     shared.wake_all();
-    shared.line_waiters.wake_all();
+    shared.queue_waiters.wake_all();
 }
 
 /// Calls a backend server for the gateway itself rather than for a caller. A server that is leaving
--- a/crates/daemon/src/gateway/shared.rs
+++ b/crates/daemon/src/gateway/shared.rs
@@ -55,7 +55,7 @@
 
 /// Versions and age of the state that a decision used.
 #[derive(Clone, Copy, Debug)]
-pub struct Basis {
+pub struct SnapshotVersion {
     /// Version of the configuration.
     pub config: u64,
     /// Revision of the server registry.
@@ -81,44 +81,44 @@
     /// The server registry: all known backend servers.
     pub roster: RefCell<ServerRegistry>,
     /// When the configuration was last known to be the newest.
-    pub recency: RefCell<ConfigStaleness>,
+    pub config_staleness: RefCell<ConfigStaleness>,
     /// True if the store's newest configuration could not be decoded.
     pub config_unreadable: Cell<bool>,
     /// Ranks the gateways that may own a quota or server limit.
-    pub homes: RefCell<Owners>,
+    pub quota_owners: RefCell<Owners>,
     /// Tokens that this gateway grants to others, as owner or standby.
-    pub lender: RefCell<LeaseIssuer>,
+    pub lease_issuer: RefCell<LeaseIssuer>,
     /// Tokens that this gateway has acquired.
-    pub borrower: RefCell<TokenLeases>,
+    pub token_leases: RefCell<TokenLeases>,
     /// Owners that did not answer, by gateway number, and until when they are not asked.
-    pub silent: RefCell<HashMap<u32, Timestamp>>,
+    pub unresponsive_owners: RefCell<HashMap<u32, Timestamp>>,
     /// Token requests to owners that wait for an answer, by request number.
-    pub asked: RefCell<HashMap<u64, oneshot::Sender<LeaseDecision>>>,
+    pub pending_asks: RefCell<HashMap<u64, oneshot::Sender<LeaseDecision>>>,
     /// When the server registry was last known to be current, and whether the store is reachable.
-    pub fresh: RefCell<StoreState>,
+    pub store_state: RefCell<StoreState>,
     /// Deadlines that callers set, by route.
-    pub patience: RefCell<CallerDeadlines>,
+    pub caller_deadlines: RefCell<CallerDeadlines>,
     /// Admission queues of plain services, by service.
-    pub lines: RefCell<HashMap<String, AdmissionQueue>>,
+    pub admission_queues: RefCell<HashMap<String, AdmissionQueue>>,
     /// Calls that wait in an admission queue.
-    pub line_waiters: Waiters,
+    pub queue_waiters: Waiters,
     /// Statistics of plain backend servers.
-    pub plain: RefCell<PlainServers>,
+    pub plain_servers: RefCell<PlainServers>,
     /// Work of this gateway at model engines, and the requests that wait for one.
     pub engines: RefCell<EngineAdmission>,
     /// Speed factors of prefill engines.
-    pub paces: RefCell<SpeedFactors>,
+    pub speed_factors: RefCell<SpeedFactors>,
     /// Estimates learned for services and routes.
-    pub learned: RefCell<TrafficStats>,
+    pub traffic_stats: RefCell<TrafficStats>,
     /// Load reports of peers.
-    pub shares: RefCell<LoadReports>,
+    pub load_reports: RefCell<LoadReports>,
     /// The scope, with the edition of the gateway list and the engine memory that it was
     /// computed from.
     scope: Cell<((u64, u64), Scope)>,
     /// Memory of all engines, in tokens.
     pub engine_memory: RefCell<Memory>,
     /// Summaries of other availability zones.
-    pub digests: RefCell<ZoneSummaries>,
+    pub zone_summaries: RefCell<ZoneSummaries>,
     /// Reservations here that serve requests of other zones.
     pub incoming: RefCell<IncomingReservations>,
     /// Retry budgets, by service.
@@ -132,21 +132,21 @@
     /// Configuration transfers to peers that are under way.
     pub uploads: Uploads,
     /// Back-offs that backend servers asked for.
-    pub pauses: RefCell<BackOffs>,
+    pub back_offs: RefCell<BackOffs>,
     /// Limits that backend servers report.
     pub limits: RefCell<ServerLimits>,
     /// Quarantine: requests suspected or confirmed to crash backend servers.
     pub quarantine: RefCell<Quarantine>,
     /// Lost attempts for which it is not known yet whether the server crashed.
-    pub losses: RefCell<LostAttempts>,
+    pub lost_attempts: RefCell<LostAttempts>,
     /// Wakes the tasks that investigate lost attempts and broadcast gossip state.
-    pub inquiries: Waiters,
+    pub background_waiters: Waiters,
     /// Gossip state to broadcast to all gateways.
-    pub notes: RefCell<GossipState>,
+    pub outgoing_gossip: RefCell<GossipState>,
     /// Requests confirmed here to crash servers that are not written to the store yet.
-    pub proofs: RefCell<Vec<RequestDigest>>,
+    pub unsaved_confirmations: RefCell<Vec<RequestDigest>>,
     /// Peers whose gossip state differs from this gateway's, and since when.
-    pub drift: RefCell<DivergenceDetector>,
+    pub divergence: RefCell<DivergenceDetector>,
     /// True while no gateway is known to be the leader that orders engines.
     pub lock_available: Cell<bool>,
     /// Engines that this gateway ordered to change their stage and that have not done so yet.
@@ -154,7 +154,7 @@
     /// When the process was told to stop.
     pub stopping: Cell<Option<Timestamp>>,
     /// Number of requests in progress.
-    pub open: Cell<usize>,
+    pub open_requests: Cell<usize>,
     /// Counters and histograms.
     pub metrics: Metrics,
     started_at: Timestamp,
@@ -189,43 +189,43 @@
             store,
             config: RefCell::default(),
             roster: RefCell::default(),
-            recency: RefCell::default(),
+            config_staleness: RefCell::default(),
             config_unreadable: Cell::default(),
-            homes: RefCell::default(),
-            lender: RefCell::new(LeaseIssuer::new(clock.now())),
-            borrower: RefCell::default(),
-            silent: RefCell::default(),
-            asked: RefCell::default(),
-            fresh: RefCell::default(),
-            patience: RefCell::default(),
-            lines: RefCell::default(),
-            line_waiters: Waiters::default(),
-            plain: RefCell::default(),
+            quota_owners: RefCell::default(),
+            lease_issuer: RefCell::new(LeaseIssuer::new(clock.now())),
+            token_leases: RefCell::default(),
+            unresponsive_owners: RefCell::default(),
+            pending_asks: RefCell::default(),
+            store_state: RefCell::default(),
+            caller_deadlines: RefCell::default(),
+            admission_queues: RefCell::default(),
+            queue_waiters: Waiters::default(),
+            plain_servers: RefCell::default(),
             engines: RefCell::default(),
-            paces: RefCell::default(),
-            learned: RefCell::default(),
-            shares: RefCell::default(),
+            speed_factors: RefCell::default(),
+            traffic_stats: RefCell::default(),
+            load_reports: RefCell::default(),
             scope: Cell::new(((0, 0), Scope::All)),
             engine_memory: RefCell::default(),
-            digests: RefCell::default(),
+            zone_summaries: RefCell::default(),
             incoming: RefCell::default(),
             budgets: RefCell::default(),
             fleet: RefCell::default(),
             role: RefCell::new(LeaderState::new(clock.now())),
             fetches: RefCell::default(),
             uploads: Uploads::default(),
-            pauses: RefCell::default(),
+            back_offs: RefCell::default(),
             limits: RefCell::default(),
             quarantine: RefCell::default(),
-            losses: RefCell::default(),
-            inquiries: Waiters::default(),
-            notes: RefCell::default(),
-            proofs: RefCell::default(),
-            drift: RefCell::default(),
+            lost_attempts: RefCell::default(),
+            background_waiters: Waiters::default(),
+            outgoing_gossip: RefCell::default(),
+            unsaved_confirmations: RefCell::default(),
+            divergence: RefCell::default(),
             lock_available: Cell::new(true),
             changing_engines: RefCell::default(),
             stopping: Cell::default(),
-            open: Cell::new(0),
+            open_requests: Cell::new(0),
             metrics,
             started_at: clock.now(),
             rng: RefCell::new(rng),
@@ -243,12 +243,12 @@
     }
 
     /// A random number, uniform in 0..1.
-    pub fn draw(&self) -> f64 {
+    pub fn random_fraction(&self) -> f64 {
         self.rng.borrow_mut().random()
     }
 
     /// A random id that no other gateway is likely to choose.
-    pub fn draw_number(&self) -> u64 {
+    pub fn random_id(&self) -> u64 {
         self.rng.borrow_mut().random()
     }
 
@@ -269,13 +269,13 @@
         if current.as_ref().is_some_and(|c| c.version >= config.version) {
             return false;
         }
-        self.recency.borrow_mut().on_version(config.version);
+        self.config_staleness.borrow_mut().on_version(config.version);
         *current = Some(Rc::new(config));
         true
     }
 
     /// Queues a message to one peer.
-    pub fn post(&self, to: SocketAddr, message: GossipMessage) {
+    pub fn queue_message(&self, to: SocketAddr, message: GossipMessage) {
         // The receiver lives as long as the process, so this can't fail.
         let _ = self.outbox.unbounded_send((to, message));
     }
@@ -296,8 +296,8 @@
     }
 
     /// Number of live gateways, this one included.
-    pub fn entries(&self) -> usize {
-        let live = 1 + self.shares.borrow().live(self.now());
+    pub fn gateway_count(&self) -> usize {
+        let live = 1 + self.load_reports.borrow().live(self.now());
         live.max(self.fleet.borrow().all().len())
     }
 
@@ -322,7 +322,7 @@
     /// Number of gateways that use the same engines, this one included.
     pub fn gateways_in_scope(&self) -> usize {
         match self.scope() {
-            Scope::All => self.entries(),
+            Scope::All => self.gateway_count(),
             Scope::Zone => self.fleet.borrow().of_zone(&self.node().zone).count().max(1),
         }
     }
@@ -349,9 +349,9 @@
 
     /// Decides anew whether this gateway follows the store. A gateway that does not follow the
     /// store relies on the store access of those that do.
-    pub fn judge_role(&self) {
+    pub fn update_role(&self) {
         let (now, node) = (self.now(), self.node());
-        let (fleet, shares) = (self.fleet.borrow(), self.shares.borrow());
+        let (fleet, shares) = (self.fleet.borrow(), self.load_reports.borrow());
         let reaches_store =
             |name: &str| matches!(shares.link(now, name), Some(StoreLink::Heard { .. }));
         let ahead: Vec<&str> =
@@ -376,16 +376,16 @@
         if !role.follows() {
             let link = shares.best_link(now);
             if let Some(at) = shares.known_at(now, self.roster.borrow().revision()) {
-                self.fresh.borrow_mut().known(at);
+                self.store_state.borrow_mut().known(at);
             }
-            if self.fresh.borrow_mut().adopt(now, link) {
+            if self.store_state.borrow_mut().adopt(now, link) {
                 tracing::info!(?link, "store access as reported by peers changed");
             }
         }
     }
 
     /// Retry budget of a service.
-    pub fn budget(&self, service: &str) -> RefMut<'_, Budget> {
+    pub fn retry_budget(&self, service: &str) -> RefMut<'_, Budget> {
         let new = || Budget::new(self.started_at);
         RefMut::map(self.budgets.borrow_mut(), |all| {
             all.entry(service.to_owned()).or_insert_with(new)
@@ -394,13 +394,13 @@
 
     /// Load of all gateways, this one included, at an engine.
     pub fn engine_load(&self, id: &ServerId) -> EngineLoad {
-        let peers = self.shares.borrow().work(self.now(), id);
+        let peers = self.load_reports.borrow().work(self.now(), id);
         self.engines.borrow().own_load(id).plus(peers)
     }
 
     /// Estimates learned for a service.
     pub fn service_estimates(&self, name: &str) -> RefMut<'_, ServiceStats> {
-        RefMut::map(self.learned.borrow_mut(), |all| all.service(name))
+        RefMut::map(self.traffic_stats.borrow_mut(), |all| all.service(name))
     }
 
     /// Sends nothing for a while to engines that are changing their stage.
@@ -413,9 +413,9 @@
     }
 
     /// Versions and age of the current state, for log lines of decisions.
-    pub fn basis(&self) -> Basis {
-        let known_at = self.fresh.borrow().known_at();
-        Basis {
+    pub fn snapshot_version(&self) -> SnapshotVersion {
+        let known_at = self.store_state.borrow().known_at();
+        SnapshotVersion {
             config: self.config.borrow().as_ref().map_or(0, |c| c.version),
             roster: self.roster.borrow().revision(),
             age: self.now().since(known_at).as_millis() as u64,
@@ -449,7 +449,7 @@
 
     /// Resolves when capacity may have become free.
     pub fn capacity_freed(&self) -> oneshot::Receiver<()> {
-        self.capacity_waiters.wake()
+        self.capacity_waiters.wait()
     }
 
     /// Wakes all requests that wait for capacity.
@@ -458,8 +458,10 @@
     }
 
     /// Admission queue of a plain service.
-    pub fn line(&self, service: &str) -> RefMut<'_, AdmissionQueue> {
-        RefMut::map(self.lines.borrow_mut(), |all| all.entry(service.to_owned()).or_default())
+    pub fn admission_queue(&self, service: &str) -> RefMut<'_, AdmissionQueue> {
+        RefMut::map(self.admission_queues.borrow_mut(), |all| {
+            all.entry(service.to_owned()).or_default()
+        })
     }
 }
 
@@ -471,7 +473,7 @@
 
 impl Waiters {
     /// Resolves at the next `wake_all`.
-    pub fn wake(&self) -> oneshot::Receiver<()> {
+    pub fn wait(&self) -> oneshot::Receiver<()> {
         let (sender, receiver) = oneshot::channel();
         self.senders.borrow_mut().push(sender);
         receiver
--- a/crates/daemon/src/gateway/belief.rs
+++ b/crates/daemon/src/gateway/state_sync.rs
@@ -27,13 +27,13 @@
 
 /// The parts of a gateway's state that are newer than the versions in the request.
 #[derive(Debug, Deserialize, Serialize)]
-pub struct Belief {
+pub struct StateUpdate {
     /// The sender's versions.
     pub versions: Versions,
     /// The configuration, if it is newer.
     pub config: Option<Config>,
     /// Changes of the server registry, if there are any.
-    pub roster: Option<Servers>,
+    pub roster: Option<RegistryUpdate>,
     /// The list of gateways, if it is newer.
     pub fleet: Option<BTreeMap<String, Gateway>>,
     /// True if a registration missing at the sender means that the backend server is gone.
@@ -44,7 +44,7 @@
 
 /// The server registry, in full or as changes.
 #[derive(Debug, Deserialize, Serialize)]
-pub enum Servers {
+pub enum RegistryUpdate {
     /// All backend servers.
     All(Vec<Change>),
     /// Changes after the requested revision.
@@ -67,7 +67,7 @@
     // The first leader of a zone gets its lists from the store. It still fetches them from a
     // peer that has been ahead for a while: the store may be silent to this gateway alone, which
     // it notices only when a watch times out.
-    let uses_store = shared.role.borrow().leads() && !shared.fresh.borrow().is_away();
+    let uses_store = shared.role.borrow().leads() && !shared.store_state.borrow().is_away();
     let behind = shared.fetches.borrow_mut().is_behind(shared.now(), own, theirs);
     if own.is_older(FetchKind::Lists, theirs) && (!uses_store || behind) {
         start_fetch(shared, from, FetchKind::Lists, own);
@@ -91,11 +91,15 @@
         let theirs =
             VersionAge { version: update.versions.config, age: Duration::from_millis(update.age) };
         apply(&shared, from, update);
-        shared.recency.borrow_mut().on_held(sent_at, shared.basis().config, theirs);
+        shared.config_staleness.borrow_mut().on_held(
+            sent_at,
+            shared.snapshot_version().config,
+            theirs,
+        );
     }
 }
 
-async fn request_state(shared: &Shared, from: SocketAddr, known: Versions) -> Option<Belief> {
+async fn request_state(shared: &Shared, from: SocketAddr, known: Versions) -> Option<StateUpdate> {
     let mut req = Request::new(Bytes::new());
     let Versions { config, roster, fleet } = known;
     let path = format!("{PATH}?{config}.{roster}.{fleet}");
@@ -117,14 +121,14 @@
     }
 }
 
-fn apply(shared: &Shared, from: SocketAddr, update: Belief) {
+fn apply(shared: &Shared, from: SocketAddr, update: StateUpdate) {
     if let Some(config) = update.config {
         let version = config.version;
         if shared.apply_config(config) {
             tracing::info!(version, peer = %from, "configuration in force");
         }
     }
-    let store_away = shared.fresh.borrow().is_away();
+    let store_away = shared.store_state.borrow().is_away();
     if let Some(fleet) = update.fleet {
         let (now, revision) = (shared.now(), update.versions.fleet);
         shared.fleet.borrow_mut().replace(now, fleet, revision);
@@ -134,11 +138,14 @@
         return;
     }
     // A gateway that can't reach the store relies on the peer's `settled` flag alone.
-    let settled = update.settled && (store_away || shared.fresh.borrow().is_trusted(shared.now()));
+    let settled =
+        update.settled && (store_away || shared.store_state.borrow().is_trusted(shared.now()));
     let effects = match update.roster {
         None => return,
-        Some(Servers::All(list)) => shared.roster.borrow_mut().replace(list, revision, settled),
-        Some(Servers::Changes(changes)) => {
+        Some(RegistryUpdate::All(list)) => {
+            shared.roster.borrow_mut().replace(list, revision, settled)
+        }
+        Some(RegistryUpdate::Changes(changes)) => {
             shared.roster.borrow_mut().catch_up(changes, revision, settled)
         }
     };
@@ -189,20 +196,20 @@
     Some(Versions { config: next()?, roster: next()?, fleet: next()? })
 }
 
-fn build_update(shared: &Shared, theirs: Versions) -> Belief {
+fn build_update(shared: &Shared, theirs: Versions) -> StateUpdate {
     let versions = versions(shared);
     let (roster, fleet) = (shared.roster.borrow(), shared.fleet.borrow());
     let servers = || match roster.since(theirs.roster) {
-        Some(changes) => Servers::Changes(changes),
-        None => Servers::All(roster.changes()),
+        Some(changes) => RegistryUpdate::Changes(changes),
+        None => RegistryUpdate::All(roster.changes()),
     };
     let complete = roster.is_complete();
-    Belief {
+    StateUpdate {
         versions,
         config: shared.config().filter(|c| c.version > theirs.config).map(|c| (*c).clone()),
         roster: (complete && versions.roster > theirs.roster).then(servers),
         fleet: (versions.fleet > theirs.fleet).then(|| fleet.registered()),
-        settled: shared.fresh.borrow().is_trusted(shared.now()),
+        settled: shared.store_state.borrow().is_trusted(shared.now()),
         age: keys::held_config(shared).age.as_millis() as u64 + 1,
     }
 }
--- a/crates/daemon/src/gateway/store.rs
+++ b/crates/daemon/src/gateway/store.rs
@@ -11,7 +11,7 @@
 use super::pool::{ExchangeError, PendingAnswer, Pool};
 
 /// Timeout of a call. The store answers in 4 ms, and some sixty times slower when it is slow.
-pub const CALL_WAIT: Duration = Duration::from_millis(800);
+pub const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 /// Milliseconds that the store may hold a poll for changes open: next to nothing.
 const POLL_WAIT_MS: u64 = 1;
 /// Shortest timeout of a watch, however little time is left for it, so that a store that is down
@@ -45,7 +45,7 @@
 
     /// Reads one key; none if it does not exist.
     pub async fn get(&self, key: &str) -> Result<Option<Item>, StoreError> {
-        match self.call(store::get(key), CALL_WAIT, store::read_item).await {
+        match self.call(store::get(key), CALL_TIMEOUT, store::read_item).await {
             Ok(item) => Ok(Some(item)),
             Err(StoreError::Missing) => Ok(None),
             Err(e) => Err(e),
@@ -59,7 +59,7 @@
         for _ in 0..PAGES_MAX {
             let after = all.items.last().map(|i| i.key.clone()).unwrap_or_default();
             let req = store::range(prefix, &after, age);
-            let page = self.call(req, CALL_WAIT, store::read_range).await?;
+            let page = self.call(req, CALL_TIMEOUT, store::read_range).await?;
             all.revision = all.revision.min(page.revision);
             all.more = page.more && !page.items.is_empty();
             all.items.extend(page.items);
@@ -74,7 +74,7 @@
     /// store is unreachable: its return is noticed within the time of a call, where a watch that
     /// began during the outage would only end after some three seconds.
     pub async fn poll_changes(&self, prefix: &str, after: u64) -> Result<Page, StoreError> {
-        self.call(store::watch(prefix, after, POLL_WAIT_MS), CALL_WAIT, store::read_watch).await
+        self.call(store::watch(prefix, after, POLL_WAIT_MS), CALL_TIMEOUT, store::read_watch).await
     }
 
     /// Changes of a prefix after a revision, as soon as there are any. Returns within `within`,
@@ -94,23 +94,24 @@
 
     /// Reads the body of a watch's answer.
     pub async fn read_watch(&self, reply: PendingAnswer) -> Result<Page, StoreError> {
-        let (status, body) = self.pool.finish_call(reply, CALL_WAIT).await.map_err(store_error)?;
+        let (status, body) =
+            self.pool.finish_call(reply, CALL_TIMEOUT).await.map_err(store_error)?;
         store::read_watch(status, &body)
     }
 
     /// Creates a lease.
     pub async fn lease(&self, ttl: Duration) -> Result<Lease, StoreError> {
-        self.call(store::lease(ttl.as_millis() as u64), CALL_WAIT, store::read_lease).await
+        self.call(store::lease(ttl.as_millis() as u64), CALL_TIMEOUT, store::read_lease).await
     }
 
     /// Renews a lease.
     pub async fn renew(&self, id: u64) -> Result<u64, StoreError> {
-        self.call(store::keep(id), CALL_WAIT, store::read_kept).await
+        self.call(store::keep(id), CALL_TIMEOUT, store::read_kept).await
     }
 
     /// Revokes a lease, which deletes its keys.
-    pub async fn end(&self, id: u64) -> Result<(), StoreError> {
-        self.call(store::end(id), CALL_WAIT, |status, _| match status.is_success() {
+    pub async fn revoke(&self, id: u64) -> Result<(), StoreError> {
+        self.call(store::end(id), CALL_TIMEOUT, |status, _| match status.is_success() {
             true => Ok(()),
             false => Err(StoreError::Unknown { detail: format!("status {status}") }),
         })
@@ -123,7 +124,7 @@
         expected: &[(&str, u64)],
         writes: &[Write<'_>],
     ) -> Result<u64, StoreError> {
-        self.call(store::txn(expected, writes), CALL_WAIT, store::read_txn).await
+        self.call(store::txn(expected, writes), CALL_TIMEOUT, store::read_txn).await
     }
 
     async fn call<T>(
--- a/crates/daemon/src/gateway/stream.rs
+++ b/crates/daemon/src/gateway/stream.rs
@@ -40,7 +40,7 @@
 use super::retries;
 use super::said;
 use super::send::{self, Expect, Head};
-use super::shared::{Basis, Shared};
+use super::shared::{Shared, SnapshotVersion};
 
 /// Silence after which a resumable stream is continued at another engine: five times the longest
 /// pause that is still in time, and well before callers give up.
@@ -122,7 +122,7 @@
         Some(Err(_)) => (Cause::Timeout, retry_at(shared, intake, state)),
     };
     let retry = retry_at.map(|at| at.since(shared.now()));
-    let Basis { config, roster, age } = shared.basis();
+    let SnapshotVersion { config, roster, age } = shared.snapshot_version();
     tracing::info!(
         id = intake.id(), service = %intake.service, ?cause, ?verdict, config, roster, age,
         "request refused"
@@ -239,14 +239,14 @@
 
 /// Updates the length estimates from a complete answer.
 fn learn_length(shared: &Shared, intake: &Intake, state: &StreamState) {
-    let mut learned = shared.learned.borrow_mut();
+    let mut learned = shared.traffic_stats.borrow_mut();
     let lengths = learned.lengths(&intake.route().name);
     lengths.observe(intake.caller.output, intake.caller.hint, state.generated);
 }
 
 /// When a caller should retry; none if the request may have run.
 fn retry_at(shared: &Shared, intake: &Intake, state: &StreamState) -> Option<Timestamp> {
-    let at = engines::retry_after(shared.now(), intake.ends_at, shared.draw());
+    let at = engines::retry_after(shared.now(), intake.ends_at, shared.random_fraction());
     (state.progress.verdict() == Verdict::NotRun).then_some(at)
 }
 
--- a/crates/daemon/src/gateway/stream/admission.rs
+++ b/crates/daemon/src/gateway/stream/admission.rs
@@ -18,7 +18,7 @@
 use crate::gateway::intake::Intake;
 use crate::gateway::limits;
 use crate::gateway::said;
-use crate::gateway::shared::{Basis, Shared};
+use crate::gateway::shared::{Shared, SnapshotVersion};
 
 /// Requests that an engine gets for one answer: the reservation, and the run that uses it.
 const REQUESTS_PER_ANSWER: u64 = 2;
@@ -101,7 +101,7 @@
 
 /// Expected growth of the answer, as learned for its route.
 fn expected_growth(shared: &Shared, intake: &Intake) -> LengthForecast {
-    let mut learned = shared.learned.borrow_mut();
+    let mut learned = shared.traffic_stats.borrow_mut();
     learned.lengths(&intake.route().name).expect(intake.caller.output, intake.caller.hint)
 }
 
@@ -138,11 +138,11 @@
     let roster = shared.roster.borrow();
     let servers =
         decode_engines(shared, &roster, &intake.service).filter(|s| !tried.contains(&s.id));
-    let shares = shared.shares.borrow();
+    let shares = shared.load_reports.borrow();
     let ticket = state.ticket.expect("a queued request has a ticket");
     let work = |id: &ServerId| shares.work(now, id);
     let view = AdmissionContext { engine: spec, read_at, entries };
-    shared.engines.borrow().advise(now, ticket, &view, servers, work, || shared.draw())
+    shared.engines.borrow().advise(now, ticket, &view, servers, work, || shared.random_fraction())
 }
 
 /// True if this zone's engines can't serve the request now.
@@ -155,7 +155,7 @@
     now: Timestamp,
 ) -> bool {
     let read_at = prefill::predicted_ready_at(shared, intake, state, now);
-    let (roster, shares) = (shared.roster.borrow(), shared.shares.borrow());
+    let (roster, shares) = (shared.roster.borrow(), shared.load_reports.borrow());
     let view = AdmissionContext { engine: spec, read_at, entries: shared.gateways_in_scope() };
     let servers = decode_engines(shared, &roster, &intake.service);
     let work = |id: &ServerId| shares.work(now, id);
@@ -182,7 +182,7 @@
 /// Free fraction of the memory of all decode engines that this gateway uses.
 pub fn free_fraction(shared: &Shared, service: &str, spec: &Engine) -> f64 {
     let (now, roster) = (shared.now(), shared.roster.borrow());
-    let shares = shared.shares.borrow();
+    let shares = shared.load_reports.borrow();
     let servers: Vec<&Server> = decode_engines(shared, &roster, service).collect();
     let engines = shared.engines.borrow();
     engines.free_fraction(now, &servers, spec, |id| shares.work(now, id))
@@ -192,7 +192,7 @@
 pub fn free_slots(shared: &Shared, service: &str, spec: &Engine) -> u32 {
     let usual = shared.service_estimates(service).shape.memory();
     let (now, roster) = (shared.now(), shared.roster.borrow());
-    let shares = shared.shares.borrow();
+    let shares = shared.load_reports.borrow();
     let servers: Vec<&Server> = decode_engines(shared, &roster, service).collect();
     let engines = shared.engines.borrow();
     engines.free_capacity(now, &servers, spec, usual, |id| shares.work(now, id))
@@ -289,7 +289,7 @@
         prefill::predicted_ready_at(shared, intake, state, now).since(now).as_millis() as u64;
     let left = intake.goal_at.since(now).as_millis() as u64;
     let waiting = shared.engines.borrow().waiting();
-    let Basis { config, roster, age } = shared.basis();
+    let SnapshotVersion { config, roster, age } = shared.snapshot_version();
     tracing::info!(
         id = intake.id(),
         ms,
@@ -317,7 +317,7 @@
     let free = free_percent(shared, intake, spec);
     let work = shared.engine_load(&server.id);
     let ms = shared.now().since(joined_at).as_millis() as u64;
-    let Basis { config, roster, age } = shared.basis();
+    let SnapshotVersion { config, roster, age } = shared.snapshot_version();
     tracing::info!(
         id = intake.id(), server = %server.id, prompt = intake.caller.prompt,
         output = intake.caller.output, hint = intake.caller.hint, tokens = work.memory.now(),
--- a/crates/daemon/src/gateway/stream/incoming.rs
+++ b/crates/daemon/src/gateway/stream/incoming.rs
@@ -18,7 +18,7 @@
 
 use super::overflow::{Grant, ReservationRequest};
 use super::{admission, prefill};
-use crate::gateway::shared::{Basis, Shared};
+use crate::gateway::shared::{Shared, SnapshotVersion};
 use crate::http;
 
 /// Interval at which the expected progress of such a request's answer is updated.
@@ -136,7 +136,7 @@
     let free = (admission::free_fraction(shared, &request.service, view.engine) * 100.0) as u64;
     let waiting = shared.engines.borrow().waiting();
     let read = view.read_at.since(shared.now()).as_millis() as u64;
-    let Basis { config, roster, age } = shared.basis();
+    let SnapshotVersion { config, roster, age } = shared.snapshot_version();
     let server = server.map(ToString::to_string);
     let message = if server.is_some() {
         "reservation granted to another zone"
@@ -153,11 +153,12 @@
     need: &Demand,
     view: &AdmissionContext<'_>,
 ) -> Option<Server> {
-    let (now, roster, shares) = (shared.now(), shared.roster.borrow(), shared.shares.borrow());
+    let (now, roster, shares) =
+        (shared.now(), shared.roster.borrow(), shared.load_reports.borrow());
     let servers = admission::decode_engines(shared, &roster, service);
     let work = |id: &ServerId| shares.work(now, id);
     let engines = shared.engines.borrow();
-    let id = engines.grant(now, need, view, servers, work, || shared.draw())?;
+    let id = engines.grant(now, need, view, servers, work, || shared.random_fraction())?;
     roster.get(&id).cloned()
 }
 
--- a/crates/daemon/src/gateway/stream/overflow.rs
+++ b/crates/daemon/src/gateway/stream/overflow.rs
@@ -18,7 +18,7 @@
 
 use super::state::{Reservation, StreamState};
 use crate::gateway::intake::Intake;
-use crate::gateway::shared::{Basis, Shared};
+use crate::gateway::shared::{Shared, SnapshotVersion};
 
 /// Path for reservation requests, followed by `/` and the grant's id to release one.
 pub const PATH: &str = "/place";
@@ -107,9 +107,14 @@
 ) -> Option<TargetZone> {
     let now = shared.now();
     let within = need.first_by.since(now).checked_sub(FIRST_EVENT).unwrap_or(LATE_PREFILL_MAX);
-    let digests = shared.digests.borrow();
-    let to =
-        digests.overflow_target(now, &intake.service, within, &state.zones_asked, shared.draw())?;
+    let digests = shared.zone_summaries.borrow();
+    let to = digests.overflow_target(
+        now,
+        &intake.service,
+        within,
+        &state.zones_asked,
+        shared.random_fraction(),
+    )?;
     Some(TargetZone { zone: to.zone.clone(), addr: to.addr })
 }
 
@@ -139,14 +144,14 @@
     let grant = request_grant(shared, addr, &request).await;
     let ms = shared.now().since(now).as_millis() as u64;
     let server = grant.as_ref().map(|g| g.server.id.to_string());
-    let Basis { config, roster, age } = shared.basis();
+    let SnapshotVersion { config, roster, age } = shared.snapshot_version();
     tracing::info!(
         id = intake.id(), zone = zone.as_str(), peer = %addr, server, ms,
         config, roster, age, "reservation in another zone requested"
     );
     shared.metrics.count("gateway.spilled", u64::from(grant.is_some()));
     if grant.is_none() {
-        shared.digests.borrow_mut().on_refused(shared.now(), &zone);
+        shared.zone_summaries.borrow_mut().on_refused(shared.now(), &zone);
     }
     let Grant { id, server, hold, reader } = grant?;
     let prefill_engine = reader.map(|(s, ms)| (s, shared.now().after(Duration::from_millis(ms))));
--- a/crates/daemon/src/gateway/stream/prefill.rs
+++ b/crates/daemon/src/gateway/stream/prefill.rs
@@ -18,7 +18,7 @@
 use crate::gateway::retries;
 use crate::gateway::said;
 use crate::gateway::send::{self, Expect};
-use crate::gateway::shared::{Basis, Shared};
+use crate::gateway::shared::{Shared, SnapshotVersion};
 
 /// How much longer than predicted a prefill may take before the decode engine reads the prompt
 /// itself.
@@ -114,11 +114,11 @@
         .filter(|s| s.stage == Some(Stage::Prefill) && !engines.faulty(now, &s.id))
         .filter(|s| own.as_ref().is_none_or(|own| s.zone == *own))
         .filter(|s| !said::is_unavailable(shared, &s.id));
-    let (shares, paces) = (shared.shares.borrow(), shared.paces.borrow());
+    let (shares, paces) = (shared.load_reports.borrow(), shared.speed_factors.borrow());
     let work = |id: &_| engines.own_load(id).plus(shares.work(now, id));
     let learned = shared.service_estimates(service);
     let choice = ChoiceContext { paces: &paces, reading: &learned.reading, prompt, zone, entries };
-    let picked = prefill::pick(now, prefill_engines, work, &choice, || shared.draw());
+    let picked = prefill::pick(now, prefill_engines, work, &choice, || shared.random_fraction());
     picked.map(|(s, at)| (s.clone(), at))
 }
 
@@ -146,7 +146,7 @@
     let mut req = intake.request(now, &server.id);
     headers::set_prefill(req.headers_mut());
     let limit = ready_at.since(now) + PREFILL_SLACK;
-    let Basis { config, roster, age } = shared.basis();
+    let SnapshotVersion { config, roster, age } = shared.snapshot_version();
     state.open_attempt = Some((server.clone(), now));
     let (fate, answer) =
         send::complete_exchange(shared, intake, server, req, limit, Expect::Handle).await;
@@ -168,7 +168,7 @@
         // The queue of another zone's prefill engine is not known here, so its time is no measure
         // of speed.
         if !remote {
-            shared.paces.borrow_mut().observe(&server.id, done.since(now), base_time);
+            shared.speed_factors.borrow_mut().observe(&server.id, done.since(now), base_time);
             shared.service_estimates(&intake.service).reading.observe(
                 work,
                 prompt,
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -18,7 +18,7 @@
 
 use super::shared::Shared;
 use super::store::WatchReply;
-use super::{keys, quarantine, register};
+use super::{keys, quarantine, registration};
 
 /// First back-off after a failed call; doubled with each further failure.
 const BACKOFF_MIN: Duration = Duration::from_millis(60);
@@ -44,7 +44,7 @@
 /// Prefix of the operator's keys.
 const CONFIG_PREFIX: &str = "op/";
 /// Prefix of all keys.
-pub const EVERYTHING: &str = "";
+pub const ALL_KEYS: &str = "";
 
 /// Receives the items of one prefix.
 pub trait Sink {
@@ -86,7 +86,7 @@
             }
             Err(e) => {
                 on_store_failure(&shared, prefix, &e);
-                compio::time::sleep(backoff.mul_f64(0.5 + shared.draw())).await;
+                compio::time::sleep(backoff.mul_f64(0.5 + shared.random_fraction())).await;
                 backoff = (backoff * 2).min(BACKOFF_MAX * backoff_factor(&shared));
             }
         }
@@ -131,7 +131,7 @@
     let mut known_at = shared.now();
     // After a stale list, too, changes are polled: until the first answer nothing is known to be
     // current.
-    let must_poll = shared.fresh.borrow().is_unconfirmed();
+    let must_poll = shared.store_state.borrow().is_unconfirmed();
     let sent = shared.now();
     let (page, waited) = match must_poll {
         true => (shared.store.poll_changes(prefix, after).await?, Duration::ZERO),
@@ -155,52 +155,52 @@
 /// Marks the configuration as confirmed by the store, unless the newest one could not be decoded.
 fn confirm_config(shared: &Shared, confirm: impl FnOnce(&mut ConfigStaleness)) {
     if !shared.config_unreadable.get() {
-        confirm(&mut shared.recency.borrow_mut());
+        confirm(&mut shared.config_staleness.borrow_mut());
     }
 }
 
 /// Timeout of a watch: the time until the state that it confirms is too old to be used.
 fn watch_timeout(shared: &Shared) -> Duration {
     let (now, silence) = (shared.now(), shared.node().bounds.staleness_bound());
-    let list = shared.fresh.borrow().known_at().after(silence).since(now);
+    let list = shared.store_state.borrow().known_at().after(silence).since(now);
     match keys::revoke_bound(shared) {
-        Some(bound) => list.min(shared.recency.borrow().confirm_by(bound).since(now)),
+        Some(bound) => list.min(shared.config_staleness.borrow().confirm_by(bound).since(now)),
         None => list,
     }
 }
 
 /// Records an answer of the store, whose content was current at `known_at`.
 fn on_store_answer(shared: &Shared, prefix: &str, known_at: Timestamp) {
-    if shared.fresh.borrow_mut().on_answer(shared.now(), known_at) {
+    if shared.store_state.borrow_mut().on_answer(shared.now(), known_at) {
         tracing::info!(prefix, "store is reachable again");
         shared.metrics.count("gateway.store.back", 1);
     }
 }
 
 fn on_store_failure(shared: &Shared, prefix: &str, error: &StoreError) {
-    if shared.fresh.borrow_mut().on_failure(shared.now()) {
+    if shared.store_state.borrow_mut().on_failure(shared.now()) {
         tracing::warn!(prefix, error = %error, "store is unreachable");
         shared.metrics.count("gateway.store.away", 1);
     }
 }
 
 /// Routes items to the sinks of their prefixes; other items are ignored.
-pub struct Prefixes(pub Vec<(&'static str, Box<dyn Sink>)>);
+pub struct PrefixRouter(pub Vec<(&'static str, Box<dyn Sink>)>);
 
-impl Prefixes {
+impl PrefixRouter {
     /// The sinks of a gateway.
     pub fn new(shared: &Rc<Shared>) -> Self {
-        Prefixes(vec![
+        PrefixRouter(vec![
             (CONFIG_PREFIX, Box::new(ConfigSink(shared.clone()))),
             (servers::PREFIX, Box::new(RosterSink(shared.clone()))),
             (quarantine::CONFIRMED_PREFIX, Box::new(quarantine::QuarantineSink(shared.clone()))),
             (quarantine::SUSPECT_PREFIX, Box::new(quarantine::QuarantineSink(shared.clone()))),
-            (register::PREFIX, Box::new(register::FleetSink(shared.clone()))),
+            (registration::PREFIX, Box::new(registration::FleetSink(shared.clone()))),
         ])
     }
 }
 
-impl Sink for Prefixes {
+impl Sink for PrefixRouter {
     fn replace(&self, items: Vec<Item>, revision: u64) {
         for (prefix, sink) in &self.0 {
             let own = items.iter().filter(|i| i.key.starts_with(prefix)).cloned().collect();
@@ -250,7 +250,7 @@
 
 impl RosterSink {
     fn settled(&self) -> bool {
-        self.0.fresh.borrow().is_trusted(self.0.now())
+        self.0.store_state.borrow().is_trusted(self.0.now())
     }
 }
 
--- a/crates/daemon/tests/digest.rs
+++ b/crates/daemon/tests/digest.rs
@@ -5,7 +5,7 @@
 use hyper::Method;
 
 fn digest(key: &[u8], method: &Method, host: &str, path: &str, body: &[u8]) -> RequestDigest {
-    Digester::new(key).content("", method, host, &path.parse().expect("a path"), body)
+    Digester::new(key).request_digest("", method, host, &path.parse().expect("a path"), body)
 }
 
 #[test]
--- a/crates/standins/src/fleet/peer.rs
+++ b/crates/standins/src/fleet/peer.rs
@@ -11,7 +11,7 @@
 use ebonyloft_router::load_report::{GossipMessage, LoadReport};
 use ebonyloft_router::registry::{Change, Registration};
 use ebonyloft_router::zone_leader::StoreLink;
-use ebonyloftd::gateway::belief::{Belief, Servers};
+use ebonyloftd::gateway::state_sync::{RegistryUpdate, StateUpdate};
 use ebonyloftd::http::{self, Body};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
@@ -107,8 +107,8 @@
             return http::response(StatusCode::NOT_FOUND, "text/plain", http::full(""));
         };
         let known = self.known.borrow();
-        let news = || Servers::Changes(known.changes.clone());
-        let belief = Belief {
+        let news = || RegistryUpdate::Changes(known.changes.clone());
+        let belief = StateUpdate {
             versions: known.versions,
             config: known.config.clone().filter(|c| c.version > config),
             roster: (known.versions.roster > roster).then(news),
