--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -4,6 +4,7 @@
 //! peer gateways. Decisions are made in `ebonyloft-router`; the names on the wire are defined in
 //! `ebonyloft-platform`.
 
+pub mod announcements;
 pub mod answer;
 pub mod call;
 pub mod digest;
@@ -19,7 +20,6 @@
 pub mod quota;
 pub mod registration;
 pub mod retries;
-pub mod said;
 pub mod send;
 pub mod shared;
 pub mod state_sync;
--- a/crates/daemon/src/gateway/call.rs
+++ b/crates/daemon/src/gateway/call.rs
@@ -12,13 +12,13 @@
 use futures_util::future::select;
 use hyper::Response;
 
+use super::announcements;
 use super::answer::{self, Body, Cause};
 use super::intake::Intake;
 use super::keys;
 use super::limits;
 use super::quarantine::{self, RunStage, Sent};
 use super::retries;
-use super::said;
 use super::send::{self, CompleteAnswer, Expect};
 use super::shared::{Shared, SnapshotVersion};
 
@@ -198,7 +198,7 @@
 fn all_paused_until(shared: &Shared, intake: &Intake, tried: &[ServerId]) -> Option<Timestamp> {
     let roster = shared.roster.borrow();
     let untried = roster.ready(&intake.service).filter(|s| !tried.contains(&s.id));
-    said::available_at(shared, untried)
+    announcements::available_at(shared, untried)
 }
 
 /// The best backend server for a call among those not tried yet.
@@ -209,7 +209,8 @@
     tried: &[ServerId],
 ) -> Option<Server> {
     let (node, roster) = (shared.node(), shared.roster.borrow());
-    let servers = roster.ready(&intake.service).filter(|s| !said::is_unavailable(shared, &s.id));
+    let servers =
+        roster.ready(&intake.service).filter(|s| !announcements::is_unavailable(shared, &s.id));
     let plain = shared.plain_servers.borrow();
     plain.pick(now, &node.zone, servers, tried, || shared.random_fraction()).cloned()
 }
--- a/crates/daemon/src/gateway/gossip.rs
+++ b/crates/daemon/src/gateway/gossip.rs
@@ -15,7 +15,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 
 use super::shared::Shared;
-use super::{limits, peers, quarantine, said};
+use super::{announcements, limits, peers, quarantine};
 use crate::http;
 
 /// Path at which gateways exchange their gossip state.
@@ -81,7 +81,7 @@
 /// Applies gossip state received from a peer.
 pub fn apply(shared: &Shared, state: &GossipState, peer: &str) {
     state.words.iter().for_each(|word| quarantine::apply_report(shared, word, Some(peer)));
-    state.leaving.iter().for_each(|id| said::on_leaving(shared, id, peer));
+    state.leaving.iter().for_each(|id| announcements::on_leaving(shared, id, peer));
     state.limits.iter().for_each(|word| limits::on_report(shared, word, peer));
 }
 
--- a/crates/daemon/src/gateway/orders.rs
+++ b/crates/daemon/src/gateway/orders.rs
@@ -15,8 +15,8 @@
 use ebonyloft_router::stages::{PlanContext, Planner, Shape};
 use ebonyloft_router::zones::Scope;
 
+use super::announcements;
 use super::limits;
-use super::said;
 use super::shared::Shared;
 
 /// Key of the leader lock; it exists for as long as the leader's lease.
@@ -212,7 +212,7 @@
         planner.refused(&order.to);
         return;
     }
-    let reply = said::call(shared, &server, req, ORDER_TIMEOUT).await;
+    let reply = announcements::call(shared, &server, req, ORDER_TIMEOUT).await;
     let (to, stage): (&ServerId, Stage) = (&order.to, order.stage);
     match reply {
         Ok((status, _)) => {
--- a/crates/daemon/src/gateway/quarantine.rs
+++ b/crates/daemon/src/gateway/quarantine.rs
@@ -28,10 +28,10 @@
 use hyper::{Response, StatusCode};
 use serde::{Deserialize, Serialize};
 
+use super::announcements;
 use super::answer::{self, Body, Cause};
 use super::intake::Intake;
 use super::pool::Reachability;
-use super::said;
 use super::shared::{Shared, SnapshotVersion};
 use super::watch::Sink;
 
@@ -360,7 +360,7 @@
 
 /// Checks whether a server is alive.
 async fn check_alive(shared: Rc<Shared>, id: ServerId, addr: SocketAddr) {
-    if said::is_unavailable(&shared, &id) {
+    if announcements::is_unavailable(&shared, &id) {
         return;
     }
     let sent = shared.now();
--- a/crates/daemon/src/gateway/send.rs
+++ b/crates/daemon/src/gateway/send.rs
@@ -10,12 +10,12 @@
 use hyper::body::Incoming;
 use hyper::{HeaderMap, Request, Response, StatusCode};
 
+use super::announcements;
 use super::intake::Intake;
 use super::keys;
 use super::pool::{Conn, ExchangeError, IDLE_MAX, IDLE_MAX_ONCE};
 use super::quarantine;
 use super::retries;
-use super::said;
 use super::shared::Shared;
 
 /// The head of an answer, and the connection that its body arrives on.
@@ -58,7 +58,7 @@
     let mut conn = shared.pool.take(to.addr, idle_max).await.map_err(exchange_outcome)?;
     // The server may have announced that it is leaving while the request waited for its prefill,
     // for another zone or for this connection.
-    if !said::accepts_requests(shared, &to.id) {
+    if !announcements::accepts_requests(shared, &to.id) {
         tracing::info!(
             id = intake.id(), server = %to.id, "not sent: the backend server is leaving or paused"
         );
@@ -101,7 +101,7 @@
     if !reply.moved {
         quarantine::on_alive(shared, &to.id, sent_at);
     }
-    said::on_answer(shared, &to.id, sent_at, &reply);
+    announcements::on_answer(shared, &to.id, sent_at, &reply);
     Ok(Head { reply, response, conn })
 }
 
--- a/crates/daemon/src/gateway/stream.rs
+++ b/crates/daemon/src/gateway/stream.rs
@@ -31,6 +31,7 @@
 
 use self::response::ResponseStream;
 use self::state::StreamState;
+use super::announcements;
 use super::answer::{self, Body, Cause};
 use super::call;
 use super::intake::Intake;
@@ -38,7 +39,6 @@
 use super::limits;
 use super::quarantine::{self, RunStage, Sent};
 use super::retries;
-use super::said;
 use super::send::{self, Expect, Head};
 use super::shared::{Shared, SnapshotVersion};
 
@@ -193,7 +193,7 @@
             AttemptOutcome::Moved => call::on_replaced(shared, &server.id),
             // An engine that asked for a back-off gets no requests until it is over.
             AttemptOutcome::Rejected | AttemptOutcome::Unsent
-                if said::is_unavailable(shared, &server.id) =>
+                if announcements::is_unavailable(shared, &server.id) =>
             {
                 cause = Cause::Overload;
             }
@@ -269,7 +269,7 @@
             prefill::run(shared, intake, state).await;
         }
         // The decode engine may have begun to leave while the prompt was read.
-        if said::accepts_requests(shared, &server.id) {
+        if announcements::accepts_requests(shared, &server.id) {
             return Ok(server);
         }
         tracing::info!(
--- a/crates/daemon/src/gateway/stream/admission.rs
+++ b/crates/daemon/src/gateway/stream/admission.rs
@@ -14,10 +14,10 @@
 
 use super::state::{Reservation, StreamState};
 use super::{StreamError, overflow, prefill};
+use crate::gateway::announcements;
 use crate::gateway::answer::Cause;
 use crate::gateway::intake::Intake;
 use crate::gateway::limits;
-use crate::gateway::said;
 use crate::gateway::shared::{Shared, SnapshotVersion};
 
 /// Requests that an engine gets for one answer: the reservation, and the run that uses it.
@@ -96,7 +96,7 @@
     let roster = shared.roster.borrow();
     let engines = roster.ready(&intake.service).filter(|s| s.stage == Some(Stage::Decode));
     let left = engines.filter(|s| !tried.contains(&s.id));
-    said::available_at(shared, left)
+    announcements::available_at(shared, left)
 }
 
 /// Expected growth of the answer, as learned for its route.
@@ -170,7 +170,7 @@
 ) -> impl Iterator<Item = &'a Server> {
     let zone = shared.zone();
     let here = move |s: &&Server| zone.as_ref().is_none_or(|zone| s.zone == *zone);
-    let open = |s: &&Server| !said::is_unavailable(shared, &s.id);
+    let open = |s: &&Server| !announcements::is_unavailable(shared, &s.id);
     roster.ready(service).filter(|s| s.stage == Some(Stage::Decode)).filter(here).filter(open)
 }
 
@@ -241,7 +241,7 @@
     shared.engines.borrow_mut().on_reserved(id, memory);
     shared.request_report();
     let req = engine::hold(id, memory.reserved(), spec.hold.as_millis() as u64);
-    let answer = said::call(shared, server, req, RESERVE_TIMEOUT).await;
+    let answer = announcements::call(shared, server, req, RESERVE_TIMEOUT).await;
     let now = shared.now();
     let hold = answer.as_ref().ok().and_then(|(status, body)| engine::read_hold(*status, body));
     if hold.is_some() {
@@ -265,7 +265,7 @@
             tracing::info!(server = %id, error = %e, "can't reach engine");
             // An engine that is leaving or asked for a back-off got no request, so it has no
             // fault.
-            if said::accepts_requests(shared, id) {
+            if announcements::accepts_requests(shared, id) {
                 engines.on_fault(now, id);
             }
         }
--- a/crates/daemon/src/gateway/stream/prefill.rs
+++ b/crates/daemon/src/gateway/stream/prefill.rs
@@ -11,12 +11,12 @@
 use ebonyloft_router::prefill::{self, ChoiceContext};
 
 use super::state::{PrefillHandle, StreamState};
+use crate::gateway::announcements;
 use crate::gateway::call;
 use crate::gateway::intake::Intake;
 use crate::gateway::limits;
 use crate::gateway::quarantine::{self, RunStage, Sent};
 use crate::gateway::retries;
-use crate::gateway::said;
 use crate::gateway::send::{self, Expect};
 use crate::gateway::shared::{Shared, SnapshotVersion};
 
@@ -113,7 +113,7 @@
         .ready(service)
         .filter(|s| s.stage == Some(Stage::Prefill) && !engines.faulty(now, &s.id))
         .filter(|s| own.as_ref().is_none_or(|own| s.zone == *own))
-        .filter(|s| !said::is_unavailable(shared, &s.id));
+        .filter(|s| !announcements::is_unavailable(shared, &s.id));
     let (shares, paces) = (shared.load_reports.borrow(), shared.speed_factors.borrow());
     let work = |id: &_| engines.own_load(id).plus(shares.work(now, id));
     let learned = shared.service_estimates(service);
@@ -182,7 +182,7 @@
         return true;
     }
     // A back-off is no fault of the engine.
-    if !said::is_unavailable(shared, &server.id) {
+    if !announcements::is_unavailable(shared, &server.id) {
         engines.on_fault(done, &server.id);
     }
     drop(engines);
--- a/crates/daemon/src/gateway/stream/state.rs
+++ b/crates/daemon/src/gateway/stream/state.rs
@@ -14,8 +14,8 @@
 use hyper::{HeaderMap, Request};
 
 use super::overflow::RemoteReservation;
+use crate::gateway::announcements;
 use crate::gateway::quarantine::{EARLY_WINDOW, RunStage};
-use crate::gateway::said;
 use crate::gateway::shared::Shared;
 
 /// Timeout of releasing a reservation or a prompt handle; both also expire by themselves.
@@ -179,7 +179,7 @@
 }
 
 fn send_release(shared: &Shared, id: &ServerId, addr: SocketAddr, req: Request<Bytes>) {
-    if said::is_unavailable(shared, id) || shared.limits.borrow().of(id).is_some() {
+    if announcements::is_unavailable(shared, id) || shared.limits.borrow().of(id).is_some() {
         // The engine asked for a back-off or has a request limit, and the memory is freed when it
         // expires.
         return;
