--- a/crates/core/tests/route.rs
+++ b/crates/core/tests/route.rs
@@ -6,7 +6,7 @@
 use ebonyloft_core::ids::{Account, Incarnation, Key, MemberId, Peer, Zone};
 use ebonyloft_core::message::{PlainCall, Repeat, Work};
 use ebonyloft_core::request::{Intent, Spec};
-use ebonyloft_core::route::{Earliest, PoolView};
+use ebonyloft_core::route::{EarliestSlot, PoolView};
 use ebonyloft_core::time::Timestamp;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -41,14 +41,14 @@
         first_by: NOW.after(Duration::from_millis(150)),
         deadline: NOW.after(Duration::from_secs(1)),
         repeat: Repeat::Once,
-        split: false,
+        remote_prefill: false,
         work: Work::Plain(call),
         avoid: Vec::new(),
     }
 }
 
 fn choose(pool: &mut PoolView) -> Result<Peer, Option<Timestamp>> {
-    let mut policy = Earliest { zone: Zone::default() };
+    let mut policy = EarliestSlot { zone: Zone::default() };
     pool.executor(NOW, &at_most_once_spec(), HOLD, &mut policy, &mut ChaCha8Rng::seed_from_u64(1))
 }
 
@@ -67,7 +67,7 @@
     let mut pool = pool(1);
     for _ in 0..8 {
         let executor = choose(&mut pool).expect("a slot is free");
-        pool.sent(&executor);
+        pool.on_sent(&executor);
     }
     assert!(choose(&mut pool).is_err(), "eight requests of 20 ms each are ahead");
 }
--- a/crates/router/src/quota/issuer.rs
+++ b/crates/router/src/quota/issuer.rs
@@ -114,7 +114,7 @@
             row.bucket.put(&rate, (bound.burst - row.bound.burst) * part);
         }
         row.bound = *bound;
-        match row.bucket.take_some(now, &rate, request.need as f64) {
+        match row.bucket.take_many(now, &rate, request.need as f64) {
             Ok(()) => {
                 let surplus = (row.bucket.level() - rate.burst * RESERVED_FRACTION).max(0.0);
                 let extra = surplus.min(request.more as f64).floor();
