--- a/crates/cli/tests/trace.rs
+++ b/crates/cli/tests/trace.rs
@@ -1,4 +1,4 @@
-//! `ebonyloft trace`: from a request's id to what became of it.
+//! `ebonyloft trace`: finds out from a request's id what happened to it.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_refused_request_is_told_in_order() {
+fn a_refused_request_is_explained_with_its_lines_in_order() {
     let output = trace(&["b2"], LOG);
     assert!(output.status.success());
     let text = String::from_utf8(output.stdout).expect("text");
@@ -37,15 +37,16 @@
 }
 
 #[test]
-fn a_lost_request_may_have_run() {
+fn a_lost_request_is_explained_as_possibly_run() {
     let output = trace(&["c3"], LOG);
     let text = String::from_utf8(output.stdout).expect("text");
     assert!(text.ends_with("Failed: it was sent and no whole answer came; it may have run.\n"));
 }
 
-/// Of a refusal for what the same content did before, the servers are shown too, whoever was served there.
+/// For a quarantined request, the crashes under the same digest are printed too. These lines come from
+/// requests of other callers and do not have its id.
 #[test]
-fn a_quarantined_request_is_told_with_the_servers_that_ended() {
+fn a_quarantined_request_is_printed_with_the_crashes_under_the_same_digest() {
     let log = r#"
 {"timestamp":"2026-07-06T12:57:51.1Z","message":"backend server ended under a request","content":"0a1b","server":"i-7"}
 {"timestamp":"2026-07-06T12:57:51.2Z","message":"content proved","content":"0a1b","servers":"i-5 i-6 i-7"}
@@ -71,15 +72,15 @@
 }
 
 #[test]
-fn a_file_that_is_not_there_is_named() {
+fn a_missing_file_is_named_in_the_error() {
     let output = trace(&["b2", "/nowhere/log"], "");
     assert_eq!(output.status.code(), Some(2));
     assert!(String::from_utf8_lossy(&output.stderr).contains("/nowhere/log"));
 }
 
 #[test]
-fn why_an_account_was_refused_is_told() {
-    for (cause, why) in [
+fn account_refusals_are_explained() {
+    for (cause, explanation) in [
         ("Unauthorized", "holds the key"),
         ("Unconfirmed", "may be older"),
         ("OverQuota", "more than its quota"),
@@ -90,6 +91,6 @@
         );
         let out = trace(&["f6"], &line);
         let text = String::from_utf8_lossy(&out.stdout).into_owned();
-        assert!(text.contains(why), "{cause}: {text}");
+        assert!(text.contains(explanation), "{cause}: {text}");
     }
 }
