--- a/crates/cli/src/cmd/trace.rs
+++ b/crates/cli/src/cmd/trace.rs
@@ -143,7 +143,7 @@
         "Budget" => "Given up: the retry budget was used up; see the verdict.",
         "Quarantined" => "Refused: servers ended under the same request. It did not run.",
         "Suspect" => {
-            "Refused: the same request is suspected of crashing servers and is being probed. It did not run."
+            "Refused: the same request may have crashed a server, which is being checked. It did not run."
         }
         "Lost" => "Failed: it was sent and no whole answer came; it may have run.",
         _ => return None,
