--- a/crates/daemon/src/entry/actor.rs
+++ b/crates/daemon/src/entry/actor.rs
@@ -259,8 +259,9 @@
     fn on_update(&mut self, update: News) {
         match update {
             News::Members(members) => {
-                let live_entry =
-                    |c: &&ebonyloft_core::members::Card| c.role == Role::Entry && c.usable();
+                let live_entry = |c: &&ebonyloft_core::members::MemberRecord| {
+                    c.role == Role::Entry && c.usable()
+                };
                 self.shared.borrow_mut().entries = members.iter().filter(live_entry).count().max(1);
                 self.metrics.gauge("control.members", members.len() as u64);
                 self.views.set_members(members);
@@ -362,7 +363,7 @@
         let Some(active) = self.requests.get_mut(&id) else {
             return;
         };
-        let received = active.request.held();
+        let received = active.request.received();
         let end = received.len() as u64;
         if !active.answer_started {
             active.answer_started = true;
