--- a/crates/check/src/accounts.rs
+++ b/crates/check/src/accounts.rs
@@ -1,45 +1,47 @@
-//! Client accounts at the size of hundreds of gateways, in made-up time.
+//! Simulation of client accounts with up to hundreds of gateways, in simulated time.
 //!
-//! The gateways' real decisions about keys, the age of the configuration and quotas are driven over a network
-//! with delays and losses. A key is taken away and a bound lowered while gateways are cut off from the store or
-//! from each other, paused, or killed, and while the store is silent.
+//! The gateways' real decisions about API keys, the staleness of the configuration and quotas are driven
+//! over a network with delays and losses. An API key is revoked and a rate limit is lowered while gateways
+//! are cut off from the store or from each other, paused or killed, and while the store does not answer.
 
-mod gate;
-mod world;
+mod gateway;
+mod simulation;
 
 use std::time::Duration;
 
-use self::world::World;
+use self::simulation::Simulation;
 
-/// Within which a key that was taken away must stop running work.
-pub const REVOKE: Duration = Duration::from_secs(5);
-/// Window in which quotas are judged, and the part of what they allow in it that is tolerated beyond.
+/// Time after which a revoked API key must not start any request.
+pub const REVOKE_BOUND: Duration = Duration::from_secs(5);
+/// Window over which rate limits are checked.
 pub const WINDOW: Duration = Duration::from_secs(8);
-const OVER: f64 = 0.05;
-/// Least part of a bound that must be usable where nothing goes wrong, and of what an account within its quota
-/// asks that must be served.
-pub const USE_MIN: f64 = 0.98;
+/// Share by which the tokens used in a window may exceed the limit.
+const EXCESS_MAX: f64 = 0.05;
+/// Smallest share of a rate limit that must be usable without faults, and of the requests of an account within
+/// its limit that must be served.
+pub const USED_MIN: f64 = 0.98;
 
-/// A rule left out.
+/// A rule of the gateways to leave out.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Mutant {
-    /// The age of the configuration begins anew when it is passed on.
+    /// The staleness of the configuration restarts at zero when it is passed to another gateway.
     AgeRestarts,
-    /// Time in which a gateway was paused is not counted.
+    /// The time for which a gateway was paused does not count as staleness.
     PauseUncounted,
-    /// Keys are not looked at again before the send.
+    /// API keys are not checked again before the request is sent.
     CheckedOnce,
-    /// A home that begins grants a whole burst.
+    /// An owner that has just started grants a full burst.
     StartsFull,
-    /// What did not run is not given back.
+    /// Tokens of requests that did not run are not returned.
     Kept,
-    /// What did not run is given back twice.
+    /// Tokens of requests that did not run are returned twice.
     GivenTwice,
-    /// A deputy grants the whole bound at once, whoever asks, and a burst that the home has lent already.
+    /// A standby grants the full rate limit at once, to any gateway, and a burst that the owner has already
+    /// granted.
     DeputyFull,
-    /// A lowered bound waits until the bucket is empty.
+    /// A lowered rate limit takes effect only once the token bucket is empty.
     LoweredLate,
-    /// Each gateway has its share by their number.
+    /// Each gateway enforces an equal share of the limit, by the number of gateways.
     ByNumber,
 }
 
@@ -56,82 +58,88 @@
     Mutant::ByNumber,
 ];
 
-/// What goes wrong in a run.
+/// The fault that is injected into a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Trouble {
-    /// Nothing.
+pub enum Fault {
+    /// No fault.
     None,
     /// A third of the gateways is cut off from the store.
     StoreCut,
-    /// A third is cut off from the store and from everybody.
+    /// A third of the gateways is cut off from the store and from all other gateways.
     Cut,
-    /// A third stands still for seconds.
+    /// A third of the gateways is paused for seconds.
     Pause,
-    /// All are killed at one moment, three times.
+    /// All gateways are killed at the same time, three times.
     KillAll,
-    /// One account's home and its deputies are killed in turn, a third of the others at once, and the store is
-    /// silent.
+    /// One account's owner and its standbys are killed one after another, a third of the gateways at once, and
+    /// the store does not answer.
     KillSome,
 }
 
-/// One run.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct AccountsSpec {
     /// Gateways.
     pub gateways: usize,
-    /// Client accounts; a thousand of them are active at most.
+    /// Client accounts, of which at most a thousand are active.
     pub accounts: usize,
-    /// Fixes the run, and what goes wrong in it.
+    /// Determines the run, including its fault.
     pub seed: u64,
-    /// A rule left out.
+    /// The rule to leave out.
     pub mutant: Option<Mutant>,
 }
 
 impl AccountsSpec {
-    /// What goes wrong.
-    pub fn trouble(&self) -> Trouble {
+    /// The fault to inject.
+    pub fn trouble(&self) -> Fault {
         match self.seed % 6 {
-            0 => Trouble::None,
-            1 => Trouble::StoreCut,
-            2 => Trouble::Cut,
-            3 => Trouble::Pause,
-            4 => Trouble::KillAll,
-            _ => Trouble::KillSome,
+            0 => Fault::None,
+            1 => Fault::StoreCut,
+            2 => Fault::Cut,
+            3 => Fault::Pause,
+            4 => Fault::KillAll,
+            _ => Fault::KillSome,
         }
     }
 }
 
-/// What came of one run.
+/// Results of a run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
-    /// Latest run with the key that was taken away, behind its bound, in milliseconds.
+    /// How long after the revocation bound the revoked key last started a request, in milliseconds.
     pub late: u64,
-    /// Requests that ran with that key behind the change at all.
+    /// Requests that ran with the revoked key and were sent after the revocation.
     pub ran: usize,
-    /// Most that ran in any window, as a part of what is tolerated.
+    /// Largest use of a window, as a share of what is tolerated.
     pub over: f64,
-    /// Least part of a bound that was used where more was asked for; 1 where that can't be told.
+    /// Smallest share of a rate limit that was used by accounts with more demand; 1 in runs with faults.
     pub used: f64,
-    /// Least part of its requests that an account within its quota had served; the same.
+    /// Share of its requests that were served to an account within its limit; 1 in runs with faults.
     pub served: f64,
-    /// Bytes that a gateway sent a second for keys and quotas, in the mean, and the busiest one.
+    /// Bytes per second that a gateway sent for API keys and quotas: the mean, and the busiest gateway.
     pub bytes: (f64, f64),
 }
 
 impl Tally {
-    /// The first promise that was broken.
+    /// The first guarantee that was violated.
     pub fn broken(&self) -> Option<String> {
         let checks = [
-            (self.late > 0, format!("a key ran work {} ms behind its bound", self.late)),
-            (self.over > 1.0, format!("{:.3} of what is tolerated ran in a window", self.over)),
-            (self.used < USE_MIN, format!("{:.3} of a bound could be used", self.used)),
-            (self.served < USE_MIN, format!("{:.3} served within a quota", self.served)),
+            (
+                self.late > 0,
+                format!("a revoked key started a request {} ms after the bound", self.late),
+            ),
+            (self.over > 1.0, format!("a window used {:.3} of what is tolerated", self.over)),
+            (self.used < USED_MIN, format!("only {:.3} of a rate limit could be used", self.used)),
+            (
+                self.served < USED_MIN,
+                format!("only {:.3} of the requests within a limit were served", self.served),
+            ),
         ];
-        checks.into_iter().find(|(broken, _)| *broken).map(|(_, what)| what)
+        checks.into_iter().find(|(violated, _)| *violated).map(|(_, message)| message)
     }
 }
 
-/// Plays one run.
+/// Runs one simulation.
 pub fn run(spec: AccountsSpec) -> Tally {
-    World::new(spec).play()
+    Simulation::new(spec).run()
 }
--- a/crates/check/src/answers.rs
+++ b/crates/check/src/answers.rs
@@ -1,88 +1,105 @@
-//! What backend servers' answers and ends tell, at the size of hundreds of gateways, in made-up time.
+//! Simulation of how gateways react to answers and crashes of backend servers, with up to hundreds of
+//! gateways, in simulated time.
 //!
-//! The gateways' real decisions about contents, losses, leaving and pauses are driven over a network with
-//! delays and losses. Callers repeat contents under which servers end, at any gateway; answers get lost,
-//! servers end by themselves, gateways are cut off, begun anew one by one, or all killed.
+//! The gateways' real decisions about crashing requests, lost attempts, leaving servers and back-off are
+//! driven over a network with delays and losses. Callers repeat requests that crash servers, at any gateway;
+//! answers are lost, servers crash for unrelated reasons, and gateways are isolated, restarted one by one, or
+//! all killed.
 
-mod gate;
-
-mod world;
+mod gateway;
+mod simulation;
 
 use std::time::Duration;
 
-pub use self::gate::{MUTANTS, Mutant};
-use self::world::World;
+pub use self::gateway::{MUTANTS, Mutant};
+use self::simulation::Simulation;
 
-/// Sends later than allowed behind the third ending of a content that may still come.
+/// Times that a request may still be sent after the bound that follows its third crash.
 pub const LATE_MAX: usize = 3;
-/// Servers that one content may end.
-pub const ENDED_MAX: usize = 6;
-/// Part of the bystanders that may be refused where servers end all the time; elsewhere none.
+/// Servers that one request may crash.
+pub const CRASHES_MAX: usize = 6;
+/// Share of the other requests that may be refused in runs with unrelated crashes; otherwise none may.
 pub const REFUSED_MAX: f64 = 1e-4;
-/// Within which every gateway must act on a proof.
-pub const CONTACT: Duration = Duration::from_secs(3);
-/// Within which a server that said that it leaves must be sent nothing more.
-pub const DRAIN: Duration = Duration::from_secs(2);
+/// Time after which every gateway must refuse a request that is confirmed to crash servers.
+pub const CONFIRM_BOUND: Duration = Duration::from_secs(3);
+/// Time after which a server that announced its departure must receive no more requests.
+pub const LEAVING_BOUND: Duration = Duration::from_secs(2);
 
-/// One run.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct AnswersSpec {
     /// Gateways.
     pub gateways: usize,
-    /// Fixes the run; its remainder by four chooses what else goes wrong.
+    /// Determines the run; its remainder modulo four selects the additional faults.
     pub seed: u64,
-    /// A rule left out.
+    /// The rule to leave out.
     pub mutant: Option<Mutant>,
 }
 
-/// What came of one run.
+/// Results of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
-    /// Servers ended by each content.
+    /// Servers that each crashing request crashed.
     pub ended: Vec<usize>,
-    /// Sends of each content later than allowed.
+    /// Times that each crashing request was sent later than allowed.
     pub late: Vec<usize>,
-    /// Other requests.
+    /// Other requests, which crash no server.
     pub others: usize,
-    /// Of them, refused as if servers had ended under them.
+    /// Other requests that were refused as confirmed to crash servers.
     pub refused: usize,
-    /// Most rows that a gateway knew.
+    /// Most quarantine rows that a gateway held: suspects and confirmed requests.
     pub rows: usize,
-    /// Bytes of news that one gateway sent in its worst second.
+    /// Most bytes of gossip that one gateway sent in a second.
     pub worst: usize,
-    /// Latest send to a server behind its word that it leaves, in milliseconds.
+    /// Longest time from when a gateway learned from a server that it leaves to a send there, in milliseconds.
     pub leaving: u64,
-    /// Most sends of one gateway to a server that wanted nothing.
+    /// Most sends of one gateway to a server that had asked it to back off.
     pub paused: usize,
-    /// Lives that were up for long and were sent nothing, though others were.
+    /// Restarted servers that were up for long and were sent nothing.
     pub unused: usize,
 }
 
 impl Tally {
-    /// The first promise that was broken.
+    /// The first guarantee that was violated.
     pub fn broken(&self, seed: u64) -> Option<String> {
         let late = self.late.iter().max().copied().unwrap_or_default();
         let ended = self.ended.iter().max().copied().unwrap_or_default();
-        let most = if ends_by_itself(seed) { REFUSED_MAX * self.others as f64 } else { 0.0 };
-        let drain = DRAIN.as_millis() as u64;
+        let refused_max =
+            if has_unrelated_crashes(seed) { REFUSED_MAX * self.others as f64 } else { 0.0 };
+        let leaving_max = LEAVING_BOUND.as_millis() as u64;
         let checks = [
-            (late > LATE_MAX, format!("a content was sent {late} times later than allowed")),
-            (ended > ENDED_MAX, format!("a content ended {ended} servers")),
-            (self.refused as f64 > most, format!("{} bystanders were refused", self.refused)),
-            (self.leaving > drain, format!("sent {} ms behind a word of leaving", self.leaving)),
-            (self.paused > 2, format!("{} sends to a server that wanted nothing", self.paused)),
-            (self.unused > 0, format!("{} lives were never used", self.unused)),
+            (
+                late > LATE_MAX,
+                format!("a crashing request was sent {late} times later than allowed"),
+            ),
+            (ended > CRASHES_MAX, format!("a request crashed {ended} servers")),
+            (
+                self.refused as f64 > refused_max,
+                format!("{} requests that crash no server were refused", self.refused),
+            ),
+            (
+                self.leaving > leaving_max,
+                format!(
+                    "a server was sent a request {} ms after it announced its departure",
+                    self.leaving
+                ),
+            ),
+            (
+                self.paused > 2,
+                format!("{} sends to a server that had asked to back off", self.paused),
+            ),
+            (self.unused > 0, format!("{} restarted servers were never used", self.unused)),
         ];
-        checks.into_iter().find(|(broken, _)| *broken).map(|(_, what)| what)
+        checks.into_iter().find(|(violated, _)| *violated).map(|(_, message)| message)
     }
 }
 
-/// Do servers end by themselves in this run?
-fn ends_by_itself(seed: u64) -> bool {
+/// Whether servers crash for unrelated reasons in this run.
+fn has_unrelated_crashes(seed: u64) -> bool {
     seed % 4 == 1
 }
 
-/// Plays one run.
+/// Runs one simulation.
 pub fn run(spec: AnswersSpec) -> Tally {
-    World::new(spec).play()
+    Simulation::new(spec).run()
 }
--- a/crates/check/src/queue.rs
+++ b/crates/check/src/queue.rs
@@ -1,4 +1,4 @@
-//! Events in the order of time.
+//! A queue of simulated events, ordered by time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -6,31 +6,37 @@
 
 use ebonyloft_core::time::Timestamp;
 
-/// Events to come.
-pub struct Queue<E> {
+/// Pending events; events of the same time come out in the order in which they were scheduled.
+pub struct EventQueue<E> {
     heap: BinaryHeap<(Reverse<Timestamp>, Reverse<u64>, usize)>,
     events: Vec<Option<E>>,
-    free: Vec<usize>,
+    free_slots: Vec<usize>,
     seq: u64,
     now: Timestamp,
 }
 
-impl<E> Queue<E> {
-    /// Nothing is to come; it is `now`.
+impl<E> EventQueue<E> {
+    /// An empty queue whose clock is at `now`.
     pub fn new(now: Timestamp) -> Self {
-        Queue { heap: BinaryHeap::new(), events: Vec::new(), free: Vec::new(), seq: 0, now }
+        EventQueue {
+            heap: BinaryHeap::new(),
+            events: Vec::new(),
+            free_slots: Vec::new(),
+            seq: 0,
+            now,
+        }
     }
 
-    /// The present moment.
+    /// Current simulated time.
     pub fn now(&self) -> Timestamp {
         self.now
     }
 
-    /// Something happens after a while.
-    pub fn after(&mut self, wait: Duration, event: E) {
-        let at = self.now.after(wait);
+    /// Schedules an event after a delay.
+    pub fn schedule(&mut self, delay: Duration, event: E) {
+        let at = self.now.after(delay);
         self.seq += 1;
-        let slot = self.free.pop().unwrap_or_else(|| {
+        let slot = self.free_slots.pop().unwrap_or_else(|| {
             self.events.push(None);
             self.events.len() - 1
         });
@@ -38,15 +44,15 @@
         self.heap.push((Reverse(at), Reverse(self.seq), slot));
     }
 
-    /// The next event, if it comes before `end`.
-    pub fn next(&mut self, end: Timestamp) -> Option<E> {
+    /// Removes the next event due before `end`, and advances the clock to it.
+    pub fn pop_before(&mut self, end: Timestamp) -> Option<E> {
         let (Reverse(at), ..) = self.heap.peek()?;
         if *at >= end {
             return None;
         }
         let (Reverse(at), _, slot) = self.heap.pop()?;
         self.now = at;
-        self.free.push(slot);
+        self.free_slots.push(slot);
         self.events[slot].take()
     }
 }
--- a/crates/check/tests/accounts.rs
+++ b/crates/check/tests/accounts.rs
@@ -1,8 +1,8 @@
-//! Client accounts in made-up time: the promises hold, and each rule is needed.
+//! Client accounts in simulated time: the guarantees hold, and leaving out any rule breaks one.
 
 use ebonyloft_check::accounts::{AccountsSpec, MUTANTS, Mutant, run};
 
-/// First seeds at which each mutant is looked for; one of them must show it.
+/// Number of seeds tried for each mutant; at least one of them must show a violation.
 const SEEDS: u64 = 20;
 
 fn broken(gateways: usize, seed: u64, mutant: Option<Mutant>) -> Option<String> {
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn the_promises_hold() {
+fn the_guarantees_hold() {
     for seed in 1..=12 {
         assert_eq!(broken(4, seed, None), None, "seed {seed}, 4 gateways");
     }
@@ -23,9 +23,10 @@
 #[test]
 fn each_rule_is_needed() {
     for mutant in MUTANTS {
-        // In smaller fleets a home lends next to nothing until others are heard, however it begins.
+        // In smaller fleets an owner grants almost nothing until it has heard from others, even if it starts
+        // with a full burst.
         let gateways = if mutant == Mutant::StartsFull { 68 } else { 32 };
         let found = (1..=SEEDS).find_map(|seed| broken(gateways, seed, Some(mutant)));
-        assert!(found.is_some(), "nothing shows that {mutant:?} is left out");
+        assert!(found.is_some(), "no seed shows that {mutant:?} leaves out a rule");
     }
 }
--- a/crates/check/tests/answers.rs
+++ b/crates/check/tests/answers.rs
@@ -1,8 +1,9 @@
-//! What answers and ends of servers tell, in made-up time: the promises hold, and each rule is needed.
+//! Reactions to answers and crashes of backend servers, in simulated time: the guarantees hold, and leaving
+//! out any rule breaks one.
 
 use ebonyloft_check::answers::{AnswersSpec, MUTANTS, run};
 
-/// First seeds at which each mutant is looked for; one of them must show it.
+/// Number of seeds tried for each mutant; at least one of them must show a violation.
 const SEEDS: u64 = 24;
 
 fn broken(
@@ -14,7 +15,7 @@
 }
 
 #[test]
-fn the_promises_hold() {
+fn the_guarantees_hold() {
     for seed in 1..=12 {
         assert_eq!(broken(4, seed, None), None, "seed {seed}, 4 gateways");
     }
@@ -27,6 +28,6 @@
 fn each_rule_is_needed() {
     for mutant in MUTANTS {
         let found = (1..=SEEDS).find_map(|seed| broken(4, seed, Some(mutant)));
-        assert!(found.is_some(), "nothing shows that {mutant:?} is left out");
+        assert!(found.is_some(), "no seed shows that {mutant:?} leaves out a rule");
     }
 }
