--- a/crates/check/src/accounts/gateway.rs
+++ b/crates/check/src/accounts/gateway.rs
@@ -32,11 +32,11 @@
     /// Version of its configuration; zero for none.
     pub version: u64,
     /// When this version was last confirmed to be the newest.
-    pub recency: Recency,
+    pub staleness: Recency,
     /// Tokens that it has acquired.
-    pub borrower: Borrower,
-    lender: Lender,
-    homes: Homes,
+    pub leases: Borrower,
+    issuer: Lender,
+    owners: Homes,
     /// Latest gossip of each gateway: when it was received, and which gateways it can't reach.
     gossip: BTreeMap<String, (Timestamp, Missing)>,
     /// Owners that did not answer, and until when they are skipped.
@@ -54,10 +54,10 @@
         GatewayProcess {
             name: name.to_owned(),
             version: 0,
-            recency: Recency::default(),
-            borrower: Borrower::default(),
-            lender: Lender::new(since),
-            homes: Homes::default(),
+            staleness: Recency::default(),
+            leases: Borrower::default(),
+            issuer: Lender::new(since),
+            owners: Homes::default(),
             gossip: BTreeMap::new(),
             silent_owners: HashMap::new(),
             mutant,
@@ -88,21 +88,21 @@
     /// Periodic upkeep.
     pub fn tick(&mut self, now: Timestamp, fleet: &Fleet) {
         if self.mutant != Some(Mutant::StartsFull) {
-            self.lender.tick(now, fleet.edition());
+            self.issuer.tick(now, fleet.edition());
         }
         self.silent_owners.retain(|_, until| *until > now);
     }
 
     /// Gateways in the order in which they may own an account.
     pub fn ranked(&mut self, fleet: &Fleet, key: &Key) -> std::rc::Rc<[String]> {
-        self.homes.ranked(fleet, key)
+        self.owners.ranked(fleet, key)
     }
 
     /// The gateway to ask for tokens of an account.
     pub fn owner(&mut self, now: Timestamp, fleet: &Fleet, key: &Key) -> Option<String> {
         let mut unreachable = self.unreachable(now, fleet);
         unreachable.extend(self.silent_owners.keys());
-        self.homes.home(fleet, key, &unreachable)
+        self.owners.home(fleet, key, &unreachable)
     }
 
     /// An owner did not answer.
@@ -115,9 +115,9 @@
         let limit = self.effective_limit(&ask.key, limit);
         if self.mutant == Some(Mutant::ByNumber) {
             let share = 1.0 / fleet.all().len() as f64;
-            return self.lender.lend(now, ask, &limit, share, true);
+            return self.issuer.lend(now, ask, &limit, share, true);
         }
-        let ranked = self.homes.ranked(fleet, &ask.key);
+        let ranked = self.owners.ranked(fleet, &ask.key);
         let rank = ranked.iter().position(|name| *name == self.name);
         let standby = rank.is_some_and(|rank| rank > 0) && self.mutant == Some(Mutant::DeputyFull);
         let share = match standby {
@@ -126,7 +126,7 @@
         };
         let primary = standby || rank == Some(0);
         self.tick(now, fleet);
-        self.lender.lend(now, ask, &limit, share, primary)
+        self.issuer.lend(now, ask, &limit, share, primary)
     }
 
     /// Takes back tokens that another gateway did not use.
@@ -138,9 +138,9 @@
         tokens: u64,
         limit: &Rate,
     ) {
-        let rank = self.homes.ranked(fleet, key).iter().position(|name| *name == self.name);
+        let rank = self.owners.ranked(fleet, key).iter().position(|name| *name == self.name);
         let share = self.share(now, fleet, key, limit, rank);
-        self.lender.take_back(key, tokens, share);
+        self.issuer.take_back(key, tokens, share);
     }
 
     /// The rate limit in effect; a mutant keeps a higher one until it has no tokens left to grant.
@@ -149,7 +149,7 @@
             return *limit;
         }
         let previous = *self.previous_limits.entry(key.clone()).or_insert(*limit);
-        let empty = self.lender.level(key).is_some_and(|level| level <= 0.0);
+        let empty = self.issuer.level(key).is_some_and(|level| level <= 0.0);
         let effective = if previous.rate > limit.rate && !empty { previous } else { *limit };
         self.previous_limits.insert(key.clone(), effective);
         effective
@@ -172,14 +172,14 @@
             };
         }
         let own_unreachable = self.unreachable(now, fleet);
-        let mut homes = std::mem::take(&mut self.homes);
-        let share = homes.part(
+        let mut owners = std::mem::take(&mut self.owners);
+        let share = owners.part(
             fleet,
             key,
             &self.name,
             &View { gateway: self, now, own_unreachable: &own_unreachable },
         );
-        self.homes = homes;
+        self.owners = owners;
         share
     }
 }
--- a/crates/check/src/accounts/simulation.rs
+++ b/crates/check/src/accounts/simulation.rs
@@ -107,7 +107,7 @@
     StoreAnswered { gateway: usize, incarnation: u32, sent: Timestamp },
     CheckFreshness(usize, u32),
     FreshnessAsked { from: usize, to: usize, number: u64 },
-    FreshnessAnswered { to: usize, number: u64, held: Held },
+    FreshnessAnswered { to: usize, number: u64, confirmed: Held },
     ConfigFetched { gateway: usize, version: u64 },
     Gossip,
     Upkeep,
@@ -251,7 +251,9 @@
                 self.check_freshness(gateway, incarnation)
             }
             Event::FreshnessAsked { from, to, number } => self.answer_freshness(from, to, number),
-            Event::FreshnessAnswered { to, number, held } => self.on_freshness(to, number, held),
+            Event::FreshnessAnswered { to, number, confirmed } => {
+                self.on_freshness(to, number, confirmed)
+            }
             Event::ConfigFetched { gateway, version } => self.apply_version(gateway, version),
             Event::Gossip => self.gossip(),
             Event::Upkeep => self.upkeep(),
@@ -337,20 +339,20 @@
         let revoked = request.account == REVOKED_KEY && gateway.version >= 2;
         gateway.version > 0
             && !revoked
-            && gateway.recency.holds(self.clock(request.gateway), Some(REVOKE_BOUND))
+            && gateway.staleness.holds(self.clock(request.gateway), Some(REVOKE_BOUND))
     }
 
     fn acquire_tokens(&mut self, request: Request, first: bool) {
         let (now, key) = (self.clock(request.gateway), Self::key(request.account));
         let gateway = &mut self.hosts[request.gateway].process;
         let acquired = match first {
-            true => gateway.borrower.take(now, &key, REQUEST_COST),
-            false => gateway.borrower.take_lent(now, &key, REQUEST_COST),
+            true => gateway.leases.take(now, &key, REQUEST_COST),
+            false => gateway.leases.take_lent(now, &key, REQUEST_COST),
         };
         if acquired {
             return self.wait_in_queue(request);
         }
-        if gateway.borrower.over(now, &key).is_some() || request.asks == ASKS_MAX {
+        if gateway.leases.over(now, &key).is_some() || request.asks == ASKS_MAX {
             return;
         }
         let owner = match self.spec.mutant {
@@ -369,7 +371,7 @@
             number,
             key: key.clone(),
             need: REQUEST_COST,
-            more: gateway.borrower.more(&key),
+            more: gateway.leases.more(&key),
             limit: None,
         };
         let request = Request { asks: request.asks + 1, pending: number, asked_at, ..request };
@@ -422,7 +424,7 @@
             _ => 1,
         };
         for _ in 0..times {
-            self.hosts[request.gateway].process.borrower.give_back(now, &key, REQUEST_COST);
+            self.hosts[request.gateway].process.leases.give_back(now, &key, REQUEST_COST);
         }
         // A request chosen not to run counts neither as asked nor as served.
         if request.sent.since(START) >= SETTLE_TIME {
@@ -479,15 +481,15 @@
         }
         self.requests.remove(&number);
         let (now, key) = (self.clock(request.gateway), Self::key(request.account));
-        let borrower = &mut self.hosts[request.gateway].process.borrower;
+        let leases = &mut self.hosts[request.gateway].process.leases;
         match reply {
             Reply::Lent(tokens) => {
-                borrower.lent(&key, request.asked_at, tokens);
+                leases.lent(&key, request.asked_at, tokens);
                 self.acquire_tokens(request, false);
             }
             Reply::Over { room, back } => {
                 let after = |ms: u32| now.after(Duration::from_millis(ms.into()));
-                borrower.refused(&key, after(room), after(back));
+                leases.refused(&key, after(room), after(back));
             }
             Reply::Elsewhere => {}
         }
@@ -538,14 +540,14 @@
         }
         let version = self.stored_version();
         self.apply_version(gateway, version);
-        self.hosts[gateway].process.recency.confirm(sent);
+        self.hosts[gateway].process.staleness.confirm(sent);
     }
 
     fn apply_version(&mut self, gateway: usize, version: u64) {
         let gateway = &mut self.hosts[gateway].process;
         if version > gateway.version {
             gateway.version = version;
-            gateway.recency.on_version(version);
+            gateway.staleness.on_version(version);
         }
     }
 
@@ -560,7 +562,7 @@
         }
         self.next_number += 1;
         let (now, number) = (self.clock(gateway), self.next_number);
-        if !self.hosts[gateway].process.recency.ask(now, REVOKE_BOUND, number) {
+        if !self.hosts[gateway].process.staleness.ask(now, REVOKE_BOUND, number) {
             return;
         }
         let gateways = self.hosts.len();
@@ -585,28 +587,29 @@
         }
         let now = self.clock(to);
         let gateway = &self.hosts[to].process;
-        let mut held = Held { version: gateway.version, age: gateway.recency.age(now) };
+        let mut confirmed = Held { version: gateway.version, age: gateway.staleness.age(now) };
         if self.spec.mutant == Some(Mutant::AgeRestarts) {
-            held.age = Duration::ZERO;
+            confirmed.age = Duration::ZERO;
         }
         self.hosts[to].bytes += FRESHNESS_ANSWER_BYTES;
         if self.is_delivered(to, from) {
             let wait = self.network_delay();
-            self.queue.schedule(wait, Event::FreshnessAnswered { to: from, number, held });
+            self.queue.schedule(wait, Event::FreshnessAnswered { to: from, number, confirmed });
         }
     }
 
-    fn on_freshness(&mut self, to: usize, number: u64, held: Held) {
+    fn on_freshness(&mut self, to: usize, number: u64, confirmed: Held) {
         if let Some(until) = self.hosts[to].resumes_at {
             let wait = until.since(self.now());
-            return self.queue.schedule(wait, Event::FreshnessAnswered { to, number, held });
+            return self.queue.schedule(wait, Event::FreshnessAnswered { to, number, confirmed });
         }
         let gateway = &mut self.hosts[to].process;
         let version = gateway.version;
-        gateway.recency.on_answer(number, version, held);
-        if held.version > version {
+        gateway.staleness.on_answer(number, version, confirmed);
+        if confirmed.version > version {
             let wait = Duration::from_millis(15);
-            self.queue.schedule(wait, Event::ConfigFetched { gateway: to, version: held.version });
+            self.queue
+                .schedule(wait, Event::ConfigFetched { gateway: to, version: confirmed.version });
         }
     }
 
@@ -657,7 +660,7 @@
         if self.spec.mutant == Some(Mutant::Kept) {
             return;
         }
-        let mut unused = self.hosts[gateway].process.borrower.unused(now, RETURN_BEFORE);
+        let mut unused = self.hosts[gateway].process.leases.unused(now, RETURN_BEFORE);
         unused.sort();
         for (key, tokens) in unused {
             let Some(owner) = self.hosts[gateway].process.owner(now, &self.fleet, &key) else {
--- a/crates/check/src/answers/gateway.rs
+++ b/crates/check/src/answers/gateway.rs
@@ -18,9 +18,9 @@
 pub enum Mutant {
     /// Crashes are counted by attempt instead of by request digest.
     ById,
-    /// Each gateway counts crashes alone.
+    /// Gateways do not share the crashes that they observe.
     Alone,
-    /// A restarted gateway reads no state.
+    /// A restarted gateway starts without the crashes known to the store and to other gateways.
     Forgets,
     /// A lost answer counts as a crash.
     LostEnds,
@@ -54,7 +54,7 @@
     /// Requests suspected or confirmed to crash servers.
     pub quarantine: Quarantine,
     /// Lost attempts whose servers are being probed.
-    pub losses: Losses,
+    pub lost_attempts: Losses,
     /// Peers whose state differs.
     pub divergence: Drift,
     /// Known servers, and which of them are leaving.
@@ -67,7 +67,7 @@
     pub incarnation: u32,
     /// Whether it is running.
     pub up: bool,
-    /// It can't send or receive until then.
+    /// Until when it is cut off from the network.
     pub isolated_until: Timestamp,
     /// Updates to be published.
     pub updates: Vec<Word>,
@@ -81,7 +81,7 @@
     pub fn new(incarnation: u32, probes: u64, mutant: Option<Mutant>) -> Self {
         GatewayProcess {
             quarantine: Quarantine::default(),
-            losses: Losses::default(),
+            lost_attempts: Losses::default(),
             divergence: Drift::default(),
             registry: Roster::default(),
             backoffs: Pauses::default(),
@@ -101,18 +101,18 @@
     }
 
     /// Decides how a request is treated, and starts the probe of a suspect.
-    pub fn admit(&mut self, now: Timestamp, content: Content) -> Standing {
-        let standing = self.quarantine.standing(now, &content);
+    pub fn admit(&mut self, now: Timestamp, digest: Content) -> Standing {
+        let standing = self.quarantine.standing(now, &digest);
         if standing == Standing::Suspect {
             self.probes += 1;
-            self.record(now, content, Duration::ZERO, Fact::Trying(self.probes));
+            self.record(now, digest, Duration::ZERO, Fact::Trying(self.probes));
         }
         standing
     }
 
     /// Whether a request is confirmed to crash servers.
-    pub fn is_confirmed(&self, now: Timestamp, content: &Content) -> bool {
-        matches!(self.quarantine.standing(now, content), Standing::Proved(_))
+    pub fn is_confirmed(&self, now: Timestamp, digest: &Content) -> bool {
+        matches!(self.quarantine.standing(now, digest), Standing::Proved(_))
     }
 
     /// Whether a request may be sent to a server.
@@ -142,12 +142,12 @@
         if loss.early {
             self.record(now, loss.content, Duration::ZERO, Fact::Lost(loss.number));
         }
-        self.losses.lost(server, loss, STREAM_WAIT);
+        self.lost_attempts.lost(server, loss, STREAM_WAIT);
     }
 
     /// A server incarnation is known to have crashed.
     pub fn on_crash(&mut self, now: Timestamp, id: &ServerId) {
-        for loss in self.losses.ended(id) {
+        for loss in self.lost_attempts.ended(id) {
             if self.quarantine.is_sound(loss.at, &loss.content) {
                 continue;
             }
@@ -161,15 +161,15 @@
 
     /// A server incarnation answered something that was sent at `sent`.
     pub fn on_alive(&mut self, now: Timestamp, id: &ServerId, sent: Timestamp) {
-        for loss in self.losses.alive(id, sent) {
+        for loss in self.lost_attempts.alive(id, sent) {
             self.record(now, loss.content, Duration::ZERO, Fact::Over(loss.number));
         }
     }
 
     /// A request was answered completely.
-    pub fn on_served(&mut self, now: Timestamp, content: Content) {
-        if self.quarantine.served_here(now, content) {
-            self.record(now, content, Duration::ZERO, Fact::Served);
+    pub fn on_served(&mut self, now: Timestamp, digest: Content) {
+        if self.quarantine.served_here(now, digest) {
+            self.record(now, digest, Duration::ZERO, Fact::Served);
         }
     }
 
@@ -187,8 +187,8 @@
     }
 
     /// Records a fact observed here, and queues it to be published to all gateways.
-    pub fn record(&mut self, now: Timestamp, content: Content, ago: Duration, fact: Fact) {
-        let update = Word { content, age: ago.as_millis() as u64, fact };
+    pub fn record(&mut self, now: Timestamp, digest: Content, ago: Duration, fact: Fact) {
+        let update = Word { content: digest, age: ago.as_millis() as u64, fact };
         self.quarantine.take(now, &update);
         if self.mutant != Some(Mutant::Alone) {
             self.updates.push(update);
--- a/crates/check/src/answers/simulation.rs
+++ b/crates/check/src/answers/simulation.rs
@@ -85,7 +85,7 @@
 /// A caller's request.
 #[derive(Clone, Copy, Debug)]
 struct Request {
-    content: Content,
+    digest: Content,
     /// Whether it crashes servers.
     crashes_servers: bool,
     tries: u32,
@@ -121,6 +121,7 @@
 struct Backend {
     server: Server,
     up: bool,
+    /// When its current incarnation started.
     up_at: Timestamp,
     /// How often it has restarted.
     restarts: u32,
@@ -263,8 +264,8 @@
         }
     }
 
-    fn request(&self, content: Content, crashes_servers: bool) -> Request {
-        Request { content, crashes_servers, tries: 0, first_sent: Timestamp::default(), probe: 0 }
+    fn request(&self, digest: Content, crashes_servers: bool) -> Request {
+        Request { digest, crashes_servers, tries: 0, first_sent: Timestamp::default(), probe: 0 }
     }
 
     fn random(&mut self, range: std::ops::Range<u64>) -> u64 {
@@ -286,10 +287,10 @@
             self.handle(event);
         }
         for n in 0..CRASHING {
-            let content = Content(n, 0);
-            let mut crashes = self.crashes.remove(&content).unwrap_or_default();
+            let digest = Content(n, 0);
+            let mut crashes = self.crashes.remove(&digest).unwrap_or_default();
             crashes.sort();
-            let reached = self.reached.remove(&content).unwrap_or_default();
+            let reached = self.reached.remove(&digest).unwrap_or_default();
             let bound = crashes.get(2).map(|third| third.after(CONFIRM_BOUND));
             let late = bound.map_or(0, |bound| reached.iter().filter(|at| **at > bound).count());
             self.tally.ended.push(crashes.len());
@@ -323,7 +324,7 @@
                     );
                 }
             }
-            Event::Crash(backend, id, content) => self.crash(backend, &id, content),
+            Event::Crash(backend, id, digest) => self.crash(backend, &id, digest),
             Event::Restart(backend) => self.restart(backend),
             Event::RegistrationExpired(id) => self.on_registration_expired(&id),
             Event::AnswerLost(attempt) => self.on_answer_lost(attempt),
@@ -347,11 +348,11 @@
             Event::ServerBacksOff(backend, duration) => {
                 self.backends[backend].backoff_until = now.after(duration)
             }
-            Event::StoreConfirmed(content) => {
-                self.stored_confirmed.insert(content);
+            Event::StoreConfirmed(digest) => {
+                self.stored_confirmed.insert(digest);
             }
-            Event::StoreSuspect(content, endings) => {
-                self.suspects.insert(content, endings);
+            Event::StoreSuspect(digest, crashes) => {
+                self.suspects.insert(digest, crashes);
             }
         }
     }
@@ -371,8 +372,8 @@
     }
 
     fn admit(&mut self, gateway: usize, mut request: Request) {
-        let (now, content) = (self.queue.now(), self.counted_as(&request));
-        match self.gateways[gateway].admit(now, content) {
+        let (now, digest) = (self.queue.now(), self.counted_as(&request));
+        match self.gateways[gateway].admit(now, digest) {
             Standing::Free => {}
             Standing::Suspect => request.probe = self.gateways[gateway].probes,
             Standing::Held(_) if now < request.first_sent.after(SUSPECT_WAIT) => {
@@ -395,7 +396,7 @@
             self.next_id += 1;
             return Content(self.next_id, u64::MAX);
         }
-        request.content
+        request.digest
     }
 
     fn choose(&mut self, gateway: usize, phase: Phase, retry: bool) -> Option<usize> {
@@ -417,7 +418,7 @@
     ) {
         let now = self.queue.now();
         let unchecked = phase == Phase::Prefill && self.spec.mutant == Some(Mutant::ReadingFree);
-        if !unchecked && self.gateways[gateway].is_confirmed(now, &request.content) {
+        if !unchecked && self.gateways[gateway].is_confirmed(now, &request.digest) {
             self.tally.refused += usize::from(!request.crashes_servers);
             return;
         }
@@ -484,8 +485,8 @@
         if attempt.request.crashes_servers
             && (attempt.phase == Phase::Decode || crashes_prefill(&attempt.request))
         {
-            self.reached.entry(attempt.request.content).or_default().push(now);
-            let crash = Event::Crash(server, attempt.id.clone(), Some(attempt.request.content));
+            self.reached.entry(attempt.request.digest).or_default().push(now);
+            let crash = Event::Crash(server, attempt.id.clone(), Some(attempt.request.digest));
             let wait = if attempt.phase == Phase::Prefill { PREFILL_TIME / 2 } else { CRASH_DELAY };
             self.queue.schedule(wait, crash);
         }
@@ -519,7 +520,7 @@
             let wait = if self.rng.random_bool(0.05) { QUEUE_WAIT_MAX } else { Duration::ZERO };
             return self.queue.schedule(wait, Event::StartDecode(attempt));
         }
-        gateway.on_served(now, attempt.request.content);
+        gateway.on_served(now, attempt.request.digest);
         self.end_attempt(&attempt);
     }
 
@@ -530,7 +531,7 @@
             let gateway = &mut self.gateways[attempt.gateway];
             gateway.record(
                 now,
-                attempt.request.content,
+                attempt.request.digest,
                 Duration::ZERO,
                 Fact::Over(attempt.request.probe),
             );
@@ -551,12 +552,12 @@
         let Some(attempt) = self.attempts.remove(&n) else {
             return;
         };
-        let content = self.counted_as(&attempt.request);
+        let digest = self.counted_as(&attempt.request);
         let gateway = &mut self.gateways[attempt.gateway];
         if gateway.is_reachable(now) && gateway.incarnation == attempt.incarnation {
             let first_output = attempt.began.map(|at| at.after(ms(30)));
             let early = first_output.is_none_or(|at| now < at.after(ms(1_000)));
-            let loss = Loss { content, early, sent: attempt.sent, at: now, number: n };
+            let loss = Loss { content: digest, early, sent: attempt.sent, at: now, number: n };
             let prefill = attempt.phase == Phase::Prefill;
             if !(prefill && self.spec.mutant == Some(Mutant::ReadingFree)) {
                 gateway.on_attempt_lost(&self.backends[attempt.server].server, loss);
@@ -582,11 +583,11 @@
         if process.incarnation != incarnation || !process.up {
             return;
         }
-        process.losses.expire(now);
-        for (id, _) in process.losses.ask(now) {
+        process.lost_attempts.expire(now);
+        for (id, _) in process.lost_attempts.ask(now) {
             self.queue.schedule(ms(2), Event::ProbeAnswered(gateway, incarnation, id, now));
         }
-        if let Some(at) = self.gateways[gateway].losses.next_ask() {
+        if let Some(at) = self.gateways[gateway].lost_attempts.next_ask() {
             self.queue.schedule(at.since(now).max(ms(1)), Event::ProbeLost(gateway, incarnation));
         }
     }
@@ -610,7 +611,7 @@
         if process.incarnation != incarnation || !process.is_reachable(now) {
             return;
         }
-        let ended = process.losses.found(id, found);
+        let ended = process.lost_attempts.found(id, found);
         if found == Found::Alive {
             process.on_alive(now, id, sent);
         }
@@ -620,14 +621,14 @@
         self.publish_updates(gateway);
     }
 
-    fn crash(&mut self, backend: usize, id: &ServerId, content: Option<Content>) {
+    fn crash(&mut self, backend: usize, id: &ServerId, digest: Option<Content>) {
         let now = self.queue.now();
         if !self.backends[backend].up || self.backends[backend].server.id != *id {
             return;
         }
         self.backends[backend].up = false;
-        if let Some(content) = content {
-            self.crashes.entry(content).or_default().push(now);
+        if let Some(digest) = digest {
+            self.crashes.entry(digest).or_default().push(now);
         }
         let running: Vec<u64> = self
             .attempts
@@ -691,15 +692,15 @@
             self.gateways[n].registry.apply(change, true);
         }
         if !self.starts_empty() {
-            for content in self.stored_confirmed.iter() {
-                let update = Word { content: *content, age: 0, fact: Fact::Proved };
+            for digest in self.stored_confirmed.iter() {
+                let update = Word { content: *digest, age: 0, fact: Fact::Proved };
                 self.gateways[n].quarantine.take(now, &update);
             }
-            for (content, endings) in &self.suspects {
-                for e in endings {
-                    let age = now.since(e.at).as_millis() as u64;
-                    let fact = Fact::Ended(e.server.clone(), e.early);
-                    self.gateways[n].quarantine.take(now, &Word { content: *content, age, fact });
+            for (digest, crashes) in &self.suspects {
+                for crash in crashes {
+                    let age = now.since(crash.at).as_millis() as u64;
+                    let fact = Fact::Ended(crash.server.clone(), crash.early);
+                    self.gateways[n].quarantine.take(now, &Word { content: *digest, age, fact });
                 }
             }
         }
@@ -715,9 +716,9 @@
         let updates = std::mem::take(&mut self.gateways[from].updates);
         let now = self.queue.now();
         for update in &updates {
-            if let Some(content) = self.newly_confirmed(from, update) {
+            if let Some(digest) = self.newly_confirmed(from, update) {
                 self.queue
-                    .schedule(ms(self.rng.random_range(10..60)), Event::StoreConfirmed(content));
+                    .schedule(ms(self.rng.random_range(10..60)), Event::StoreConfirmed(digest));
             }
             let known = &self.gateways[from].quarantine;
             if known.is_close(&update.content) && !self.starts_empty() {
@@ -813,12 +814,12 @@
 
 /// Whether a request crashes prefill engines too.
 fn crashes_prefill(request: &Request) -> bool {
-    request.crashes_servers && request.content.0 == CRASHING - 1
+    request.crashes_servers && request.digest.0 == CRASHING - 1
 }
 
 /// Whether all answers of a request are lost.
 fn loses_all_answers(request: &Request) -> bool {
-    !request.crashes_servers && request.content.0.is_multiple_of(LOST_EVERY)
+    !request.crashes_servers && request.digest.0.is_multiple_of(LOST_EVERY)
 }
 
 /// How often a caller repeats a request whose answer was lost.
--- a/crates/check/src/soak/simulation/faults.rs
+++ b/crates/check/src/soak/simulation/faults.rs
@@ -21,7 +21,7 @@
                 let ms = self.rng.random_range(100..7_000);
                 self.entries[e].paused_until = self.now.after(Duration::from_millis(ms));
             }
-            5 | 6 => self.mute(e, s),
+            5 | 6 => self.silence_link(e, s),
             7 => self.break_link(e, s),
             _ => self.start_leaving(s),
         }
@@ -33,8 +33,8 @@
         }
         self.sidecars[s].alive = false;
         let peer = self.sidecars[s].peer.clone();
-        let back = Duration::from_millis(self.rng.random_range(100..6_000));
-        self.schedule(back, Event::Restart { is_sidecar: true, index: s });
+        let restart_after = Duration::from_millis(self.rng.random_range(100..6_000));
+        self.schedule(restart_after, Event::Restart { is_sidecar: true, index: s });
         let confirmed_after = Duration::from_millis(self.rng.random_range(500..8_000));
         self.schedule(confirmed_after, Event::ConfirmGone { peer });
     }
@@ -49,8 +49,8 @@
         for s in &mut self.sidecars {
             s.executor.on_link_down(&me);
         }
-        let back = Duration::from_millis(self.rng.random_range(100..4_000));
-        self.schedule(back, Event::Restart { is_sidecar: false, index: e });
+        let restart_after = Duration::from_millis(self.rng.random_range(100..4_000));
+        self.schedule(restart_after, Event::Restart { is_sidecar: false, index: e });
     }
 
     pub(super) fn restart(&mut self, is_sidecar: bool, index: usize) {
@@ -66,11 +66,11 @@
         if self.sidecars[index].alive {
             return;
         }
-        let old = self.sidecars[index].peer.clone();
-        let fresh = self.new_sidecar(index, incarnation);
-        self.sidecars[index] = fresh;
+        let previous = self.sidecars[index].peer.clone();
+        let restarted = self.new_sidecar(index, incarnation);
+        self.sidecars[index] = restarted;
         // A new incarnation shows that the previous one has ended.
-        self.confirm_gone(&old);
+        self.confirm_gone(&previous);
         let peer = self.sidecars[index].peer.clone();
         let placement = self.current_placement().clone();
         self.sidecars[index].ledger.adopt(&placement);
@@ -84,19 +84,21 @@
         self.schedule(TICK, Event::TickSidecar { sidecar: index, incarnation });
     }
 
-    pub(super) fn mute(&mut self, e: usize, s: usize) {
+    /// A link silently drops frames in one direction or both.
+    pub(super) fn silence_link(&mut self, e: usize, s: usize) {
         let key = self.link_key(e, s);
-        let (out, back) = match self.rng.random_range(0..3) {
+        let (to_sidecar, to_entry) = match self.rng.random_range(0..3) {
             0 => (true, false),
             1 => (false, true),
             _ => (true, true),
         };
         let now = self.now;
         let link = self.net.link(&key, now);
-        link.mute_out |= out;
-        link.mute_back |= back;
+        link.drops_to_sidecar |= to_sidecar;
+        link.drops_to_entry |= to_entry;
     }
 
+    /// A link is reconnected, and the entry learns that its open requests on it are lost.
     pub(super) fn break_link(&mut self, e: usize, s: usize) {
         let key = self.link_key(e, s);
         let (now, incarnation) = (self.now, key.entry.life);
@@ -131,14 +133,15 @@
         self.sidecars[s].leaving = true;
         self.sidecars[s].executor.leave();
         let me = self.sidecars[s].peer.clone();
-        let homes = self.available_sidecars();
+        let owners = self.available_sidecars();
         if self.current_placement().homes().contains(&me) {
-            let next = self.current_placement().leave(&me, &homes);
+            let next = self.current_placement().leave(&me, &owners);
             self.publish_placement(next);
         }
         self.schedule(Duration::from_millis(200), Event::FinishLeaving { sidecar: s });
     }
 
+    /// Stops a leaving sidecar once it has no attempts and no place in the placement; tries again later otherwise.
     pub(super) fn try_finish_leaving(&mut self, s: usize) {
         if !self.sidecars[s].alive {
             return;
--- a/crates/check/src/soak/simulation/shard_moves.rs
+++ b/crates/check/src/soak/simulation/shard_moves.rs
@@ -44,8 +44,8 @@
         let incarnation = self.sidecars[sidecar].peer.life;
         for wanted in self.sidecars[sidecar].ledger.wanted() {
             let wait = Duration::from_millis(self.rng.random_range(1..300));
-            let (from, slots) = (wanted.from, wanted.slots);
-            self.schedule(wait, Event::TakeOver { to: sidecar, incarnation, from, epoch, slots });
+            let (from, shards) = (wanted.from, wanted.slots);
+            self.schedule(wait, Event::TakeOver { to: sidecar, incarnation, from, epoch, shards });
         }
     }
 
@@ -55,23 +55,24 @@
         incarnation: Incarnation,
         from: &Peer,
         epoch: u64,
-        slots: &[u16],
+        shards: &[u16],
     ) {
-        let Some(old) = self.sidecar_index(from) else {
+        let Some(previous) = self.sidecar_index(from) else {
             return;
         };
-        let running = self.sidecars[old].alive && self.sidecars[old].paused_until <= self.now;
+        let running =
+            self.sidecars[previous].alive && self.sidecars[previous].paused_until <= self.now;
         if !running || self.sidecars[to].peer.life != incarnation || !self.sidecars[to].alive {
             return;
         }
-        let Some(records) = self.sidecars[old].ledger.hand_over(epoch, slots) else {
+        let Some(records) = self.sidecars[previous].ledger.hand_over(epoch, shards) else {
             return;
         };
         // The answer may be lost, although the previous owner has released the shards.
         if self.rng.random_bool(0.2) {
             return;
         }
-        self.sidecars[to].ledger.take_over(epoch, slots, records);
+        self.sidecars[to].ledger.take_over(epoch, shards, records);
     }
 
     pub(super) fn record_taken_shards(&mut self, s: usize) {
@@ -90,9 +91,9 @@
         for entry in &mut self.entries {
             entry.known_sidecars.retain(|p| p != peer);
         }
-        let homes = self.available_sidecars();
-        if self.current_placement().mentions(peer) && !homes.is_empty() {
-            let next = self.current_placement().gone(peer, &homes, self.now);
+        let owners = self.available_sidecars();
+        if self.current_placement().mentions(peer) && !owners.is_empty() {
+            let next = self.current_placement().gone(peer, &owners, self.now);
             self.publish_placement(next);
         }
     }
--- a/crates/check/tests/answers.rs
+++ b/crates/check/tests/answers.rs
@@ -6,7 +6,7 @@
 /// Number of seeds tried for each mutant; at least one of them must show a violation.
 const SEEDS: u64 = 24;
 
-fn broken(
+fn violation(
     gateways: usize,
     seed: u64,
     mutant: Option<ebonyloft_check::answers::Mutant>,
@@ -17,17 +17,17 @@
 #[test]
 fn the_guarantees_hold() {
     for seed in 1..=12 {
-        assert_eq!(broken(4, seed, None), None, "seed {seed}, 4 gateways");
+        assert_eq!(violation(4, seed, None), None, "seed {seed}, 4 gateways");
     }
     for seed in 1..=4 {
-        assert_eq!(broken(32, seed, None), None, "seed {seed}, 32 gateways");
+        assert_eq!(violation(32, seed, None), None, "seed {seed}, 32 gateways");
     }
 }
 
 #[test]
 fn each_rule_is_needed() {
     for mutant in MUTANTS {
-        let found = (1..=SEEDS).find_map(|seed| broken(4, seed, Some(mutant)));
+        let found = (1..=SEEDS).find_map(|seed| violation(4, seed, Some(mutant)));
         assert!(found.is_some(), "no seed shows that {mutant:?} leaves out a rule");
     }
 }
