--- a/crates/check/src/accounts/gateway.rs
+++ b/crates/check/src/accounts/gateway.rs
@@ -5,14 +5,16 @@
 
 use ebonyloft_core::config::Rate;
 use ebonyloft_core::time::Timestamp;
-use ebonyloft_router::delegate::SILENT;
 use ebonyloft_router::fleet::Fleet;
 use ebonyloft_router::node::Excess;
-use ebonyloft_router::quota::borrower::Borrower;
-use ebonyloft_router::quota::homes::{Homes, Missing, Votes, gateway_number};
-use ebonyloft_router::quota::lender::{Lender, spare};
-use ebonyloft_router::quota::{Ask, Key, Reply};
-use ebonyloft_router::recency::Recency;
+use ebonyloft_router::quota::issuer::{LeaseIssuer, standby_share};
+use ebonyloft_router::quota::leases::TokenLeases;
+use ebonyloft_router::quota::ownership::{
+    Owners, ReachabilityReports, UnreachableGateways, gateway_number,
+};
+use ebonyloft_router::quota::{LeaseDecision, LeaseRequest, LimitKey};
+use ebonyloft_router::staleness::ConfigStaleness;
+use ebonyloft_router::zone_leader::LEADER_TIMEOUT;
 use ebonyloft_router::zones::{Scope, scope};
 
 use super::{EXCESS_MAX, Mutant, WINDOW};
@@ -32,18 +34,18 @@
     /// Version of its configuration; zero for none.
     pub version: u64,
     /// When this version was last confirmed to be the newest.
-    pub staleness: Recency,
+    pub staleness: ConfigStaleness,
     /// Tokens that it has acquired.
-    pub leases: Borrower,
-    issuer: Lender,
-    owners: Homes,
+    pub leases: TokenLeases,
+    issuer: LeaseIssuer,
+    owners: Owners,
     /// Latest gossip of each gateway: when it was received, and which gateways it can't reach.
-    gossip: BTreeMap<String, (Timestamp, Missing)>,
+    gossip: BTreeMap<String, (Timestamp, UnreachableGateways)>,
     /// Owners that did not answer, and until when they are skipped.
     silent_owners: HashMap<u32, Timestamp>,
     mutant: Option<Mutant>,
     /// Rate limits that a mutant keeps using until the token bucket is empty.
-    previous_limits: HashMap<Key, Rate>,
+    previous_limits: HashMap<LimitKey, Rate>,
 }
 
 impl GatewayProcess {
@@ -54,10 +56,10 @@
         GatewayProcess {
             name: name.to_owned(),
             version: 0,
-            staleness: Recency::default(),
-            leases: Borrower::default(),
-            issuer: Lender::new(since),
-            owners: Homes::default(),
+            staleness: ConfigStaleness::default(),
+            leases: TokenLeases::default(),
+            issuer: LeaseIssuer::new(since),
+            owners: Owners::default(),
             gossip: BTreeMap::new(),
             silent_owners: HashMap::new(),
             mutant,
@@ -66,23 +68,23 @@
     }
 
     /// Another gateway reported which gateways it can't reach.
-    pub fn on_gossip(&mut self, now: Timestamp, name: &str, unreachable: Missing) {
+    pub fn on_gossip(&mut self, now: Timestamp, name: &str, unreachable: UnreachableGateways) {
         self.gossip.insert(name.to_owned(), (now, unreachable));
     }
 
     /// Gateways that this one can't reach.
-    pub fn unreachable(&self, now: Timestamp, fleet: &Fleet) -> Missing {
+    pub fn unreachable(&self, now: Timestamp, fleet: &Fleet) -> UnreachableGateways {
         if scope(fleet, 0) == Scope::Zone {
-            return Missing::new();
+            return UnreachableGateways::new();
         }
         let others = fleet.all().keys().filter(|name| **name != self.name);
         let unreachable = others.filter(|name| self.recent_gossip(now, name).is_none());
         unreachable.map(|name| gateway_number(name)).collect()
     }
 
-    fn recent_gossip(&self, now: Timestamp, name: &str) -> Option<&Missing> {
+    fn recent_gossip(&self, now: Timestamp, name: &str) -> Option<&UnreachableGateways> {
         let (at, unreachable) = self.gossip.get(name)?;
-        (now.since(*at) < SILENT).then_some(unreachable)
+        (now.since(*at) < LEADER_TIMEOUT).then_some(unreachable)
     }
 
     /// Periodic upkeep.
@@ -94,15 +96,15 @@
     }
 
     /// Gateways in the order in which they may own an account.
-    pub fn ranked(&mut self, fleet: &Fleet, key: &Key) -> std::rc::Rc<[String]> {
+    pub fn ranked(&mut self, fleet: &Fleet, key: &LimitKey) -> std::rc::Rc<[String]> {
         self.owners.ranked(fleet, key)
     }
 
     /// The gateway to ask for tokens of an account.
-    pub fn owner(&mut self, now: Timestamp, fleet: &Fleet, key: &Key) -> Option<String> {
+    pub fn owner(&mut self, now: Timestamp, fleet: &Fleet, key: &LimitKey) -> Option<String> {
         let mut unreachable = self.unreachable(now, fleet);
         unreachable.extend(self.silent_owners.keys());
-        self.owners.home(fleet, key, &unreachable)
+        self.owners.owner(fleet, key, &unreachable)
     }
 
     /// An owner did not answer.
@@ -111,11 +113,17 @@
     }
 
     /// Grants tokens of an account, as its owner or standby.
-    pub fn grant(&mut self, now: Timestamp, fleet: &Fleet, ask: &Ask, limit: &Rate) -> Reply {
+    pub fn grant(
+        &mut self,
+        now: Timestamp,
+        fleet: &Fleet,
+        ask: &LeaseRequest,
+        limit: &Rate,
+    ) -> LeaseDecision {
         let limit = self.effective_limit(&ask.key, limit);
         if self.mutant == Some(Mutant::ByNumber) {
             let share = 1.0 / fleet.all().len() as f64;
-            return self.issuer.lend(now, ask, &limit, share, true);
+            return self.issuer.grant(now, ask, &limit, share, true);
         }
         let ranked = self.owners.ranked(fleet, &ask.key);
         let rank = ranked.iter().position(|name| *name == self.name);
@@ -126,7 +134,7 @@
         };
         let primary = standby || rank == Some(0);
         self.tick(now, fleet);
-        self.issuer.lend(now, ask, &limit, share, primary)
+        self.issuer.grant(now, ask, &limit, share, primary)
     }
 
     /// Takes back tokens that another gateway did not use.
@@ -134,17 +142,17 @@
         &mut self,
         now: Timestamp,
         fleet: &Fleet,
-        key: &Key,
+        key: &LimitKey,
         tokens: u64,
         limit: &Rate,
     ) {
         let rank = self.owners.ranked(fleet, key).iter().position(|name| *name == self.name);
         let share = self.share(now, fleet, key, limit, rank);
-        self.issuer.take_back(key, tokens, share);
+        self.issuer.return_unused(key, tokens, share);
     }
 
     /// The rate limit in effect; a mutant keeps a higher one until it has no tokens left to grant.
-    fn effective_limit(&mut self, key: &Key, limit: &Rate) -> Rate {
+    fn effective_limit(&mut self, key: &LimitKey, limit: &Rate) -> Rate {
         if self.mutant != Some(Mutant::LoweredLate) {
             return *limit;
         }
@@ -160,20 +168,20 @@
         &mut self,
         now: Timestamp,
         fleet: &Fleet,
-        key: &Key,
+        key: &LimitKey,
         limit: &Rate,
         rank: Option<usize>,
     ) -> f64 {
         if scope(fleet, 0) == Scope::Zone {
             return match rank {
                 Some(0) => 1.0,
-                Some(1) => spare(limit, &EXCESS),
+                Some(1) => standby_share(limit, &EXCESS),
                 _ => 0.0,
             };
         }
         let own_unreachable = self.unreachable(now, fleet);
         let mut owners = std::mem::take(&mut self.owners);
-        let share = owners.part(
+        let share = owners.share(
             fleet,
             key,
             &self.name,
@@ -188,11 +196,11 @@
 struct View<'a> {
     gateway: &'a GatewayProcess,
     now: Timestamp,
-    own_unreachable: &'a Missing,
+    own_unreachable: &'a UnreachableGateways,
 }
 
-impl Votes for View<'_> {
-    fn missing(&self, name: &str) -> Option<&Missing> {
+impl ReachabilityReports for View<'_> {
+    fn missing(&self, name: &str) -> Option<&UnreachableGateways> {
         match name == self.gateway.name {
             true => Some(self.own_unreachable),
             false => self.gateway.recent_gossip(self.now, name),
--- a/crates/check/src/accounts/simulation.rs
+++ b/crates/check/src/accounts/simulation.rs
@@ -6,9 +6,9 @@
 use ebonyloft_core::config::Rate;
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::fleet::{Fleet, Gateway};
-use ebonyloft_router::quota::homes::Missing;
-use ebonyloft_router::quota::{Ask, Key, Reply};
-use ebonyloft_router::recency::Held;
+use ebonyloft_router::quota::ownership::UnreachableGateways;
+use ebonyloft_router::quota::{LeaseDecision, LeaseRequest, LimitKey};
+use ebonyloft_router::staleness::VersionAge;
 use ebonyloft_router::zones::{Scope, scope};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -98,16 +98,16 @@
 enum Event {
     NewRequest(usize),
     Arrive(Request),
-    TokensAsked { from: usize, to: usize, ask: Ask, request: u64 },
-    TokensAnswered { number: u64, reply: Reply, request: u64 },
+    TokensAsked { from: usize, to: usize, ask: LeaseRequest, request: u64 },
+    TokensAnswered { number: u64, reply: LeaseDecision, request: u64 },
     AnswerTimeout { number: u64, asks: u32, owner: String },
     Send(Request),
-    TokensReturned { to: usize, key: Key, tokens: u64 },
+    TokensReturned { to: usize, key: LimitKey, tokens: u64 },
     PollStore(usize, u32),
     StoreAnswered { gateway: usize, incarnation: u32, sent: Timestamp },
     CheckFreshness(usize, u32),
     FreshnessAsked { from: usize, to: usize, number: u64 },
-    FreshnessAnswered { to: usize, number: u64, confirmed: Held },
+    FreshnessAnswered { to: usize, number: u64, confirmed: VersionAge },
     ConfigFetched { gateway: usize, version: u64 },
     Gossip,
     Upkeep,
@@ -316,8 +316,8 @@
         }
     }
 
-    fn key(account: usize) -> Key {
-        Key::account(&format!("account-{account}"))
+    fn key(account: usize) -> LimitKey {
+        LimitKey::account(&format!("account-{account}"))
     }
 
     /// A gateway reads a request: at once, or when it resumes after a pause.
@@ -339,20 +339,20 @@
         let revoked = request.account == REVOKED_KEY && gateway.version >= 2;
         gateway.version > 0
             && !revoked
-            && gateway.staleness.holds(self.clock(request.gateway), Some(REVOKE_BOUND))
+            && gateway.staleness.is_fresh(self.clock(request.gateway), Some(REVOKE_BOUND))
     }
 
     fn acquire_tokens(&mut self, request: Request, first: bool) {
         let (now, key) = (self.clock(request.gateway), Self::key(request.account));
         let gateway = &mut self.hosts[request.gateway].process;
         let acquired = match first {
-            true => gateway.leases.take(now, &key, REQUEST_COST),
-            false => gateway.leases.take_lent(now, &key, REQUEST_COST),
+            true => gateway.leases.spend(now, &key, REQUEST_COST),
+            false => gateway.leases.spend_granted(now, &key, REQUEST_COST),
         };
         if acquired {
             return self.wait_in_queue(request);
         }
-        if gateway.leases.over(now, &key).is_some() || request.asks == ASKS_MAX {
+        if gateway.leases.exhausted(now, &key).is_some() || request.asks == ASKS_MAX {
             return;
         }
         let owner = match self.spec.mutant {
@@ -367,11 +367,11 @@
         self.next_number += u64::from(!repeat);
         let number = if repeat { request.pending } else { self.next_number };
         let asked_at = if repeat { request.asked_at } else { now };
-        let ask = Ask {
+        let ask = LeaseRequest {
             number,
             key: key.clone(),
             need: REQUEST_COST,
-            more: gateway.leases.more(&key),
+            more: gateway.leases.prefetch(&key),
             limit: None,
         };
         let request = Request { asks: request.asks + 1, pending: number, asked_at, ..request };
@@ -424,7 +424,7 @@
             _ => 1,
         };
         for _ in 0..times {
-            self.hosts[request.gateway].process.leases.give_back(now, &key, REQUEST_COST);
+            self.hosts[request.gateway].process.leases.restore(now, &key, REQUEST_COST);
         }
         // A request chosen not to run counts neither as asked nor as served.
         if request.sent.since(START) >= SETTLE_TIME {
@@ -443,7 +443,7 @@
         Duration::from_micros(self.rng.random_range(300..4_000))
     }
 
-    fn on_token_request(&mut self, from: usize, to: usize, ask: &Ask, request: u64) {
+    fn on_token_request(&mut self, from: usize, to: usize, ask: &LeaseRequest, request: u64) {
         let host = &self.hosts[to];
         if !host.up {
             return;
@@ -456,7 +456,7 @@
         let account = self.requests.get(&request).map_or(WITHIN_LIMIT, |r| r.account);
         let gateway = &mut self.hosts[to].process;
         let reply = match gateway.version {
-            0 => Reply::Elsewhere,
+            0 => LeaseDecision::Elsewhere,
             version => gateway.grant(now, &self.fleet, ask, &Self::rate_limit(version, account)),
         };
         let number = ask.number;
@@ -470,7 +470,7 @@
         }
     }
 
-    fn on_token_answer(&mut self, number: u64, reply: Reply, request: u64) {
+    fn on_token_answer(&mut self, number: u64, reply: LeaseDecision, request: u64) {
         let Some(request) = self.requests.get(&request).copied().filter(|r| r.pending == number)
         else {
             return;
@@ -483,15 +483,15 @@
         let (now, key) = (self.clock(request.gateway), Self::key(request.account));
         let leases = &mut self.hosts[request.gateway].process.leases;
         match reply {
-            Reply::Lent(tokens) => {
-                leases.lent(&key, request.asked_at, tokens);
+            LeaseDecision::Lent(tokens) => {
+                leases.on_granted(&key, request.asked_at, tokens);
                 self.acquire_tokens(request, false);
             }
-            Reply::Over { room, back } => {
+            LeaseDecision::Over { room, back } => {
                 let after = |ms: u32| now.after(Duration::from_millis(ms.into()));
-                leases.refused(&key, after(room), after(back));
+                leases.on_exhausted(&key, after(room), after(back));
             }
-            Reply::Elsewhere => {}
+            LeaseDecision::Elsewhere => {}
         }
     }
 
@@ -587,7 +587,8 @@
         }
         let now = self.clock(to);
         let gateway = &self.hosts[to].process;
-        let mut confirmed = Held { version: gateway.version, age: gateway.staleness.age(now) };
+        let mut confirmed =
+            VersionAge { version: gateway.version, age: gateway.staleness.age(now) };
         if self.spec.mutant == Some(Mutant::AgeRestarts) {
             confirmed.age = Duration::ZERO;
         }
@@ -598,7 +599,7 @@
         }
     }
 
-    fn on_freshness(&mut self, to: usize, number: u64, confirmed: Held) {
+    fn on_freshness(&mut self, to: usize, number: u64, confirmed: VersionAge) {
         if let Some(until) = self.hosts[to].resumes_at {
             let wait = until.since(self.now());
             return self.queue.schedule(wait, Event::FreshnessAnswered { to, number, confirmed });
@@ -620,7 +621,7 @@
             return;
         }
         let gateways = self.hosts.len();
-        let reports: Vec<Option<Missing>> = (0..gateways)
+        let reports: Vec<Option<UnreachableGateways>> = (0..gateways)
             .map(|i| {
                 let host = &self.hosts[i];
                 let reporting = host.up && host.resumes_at.is_none();
@@ -660,7 +661,7 @@
         if self.spec.mutant == Some(Mutant::Kept) {
             return;
         }
-        let mut unused = self.hosts[gateway].process.leases.unused(now, RETURN_BEFORE);
+        let mut unused = self.hosts[gateway].process.leases.take_expiring(now, RETURN_BEFORE);
         unused.sort();
         for (key, tokens) in unused {
             let Some(owner) = self.hosts[gateway].process.owner(now, &self.fleet, &key) else {
@@ -679,8 +680,8 @@
         }
     }
 
-    fn on_returned_tokens(&mut self, to: usize, key: &Key, tokens: u64) {
-        let Key::Account(name) = key else {
+    fn on_returned_tokens(&mut self, to: usize, key: &LimitKey, tokens: u64) {
+        let LimitKey::Account(name) = key else {
             return;
         };
         let number = name.as_str().rsplit('-').next().and_then(|n| n.parse().ok());
--- a/crates/check/src/answers/gateway.rs
+++ b/crates/check/src/answers/gateway.rs
@@ -4,14 +4,14 @@
 use std::time::Duration;
 
 use ebonyloft_core::time::Timestamp;
+use ebonyloft_router::back_offs::BackOffs;
 use ebonyloft_router::catalog::{Server, ServerId};
-use ebonyloft_router::content::Content;
-use ebonyloft_router::drift::Drift;
-use ebonyloft_router::losses::{Loss, Losses, STREAM_WAIT};
-use ebonyloft_router::outcome::Pause;
-use ebonyloft_router::pauses::Pauses;
-use ebonyloft_router::quarantine::{Fact, Quarantine, Standing, Word};
-use ebonyloft_router::roster::Roster;
+use ebonyloft_router::divergence::DivergenceDetector;
+use ebonyloft_router::lost_attempts::{LostAttempt, LostAttempts, STREAM_PROBE_DELAY};
+use ebonyloft_router::outcome::BackOff;
+use ebonyloft_router::quarantine::{Fact, Quarantine, QuarantineState, QuarantineUpdate};
+use ebonyloft_router::registry::ServerRegistry;
+use ebonyloft_router::request_digest::RequestDigest;
 
 /// A rule of the gateways to leave out.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
@@ -54,13 +54,13 @@
     /// Requests suspected or confirmed to crash servers.
     pub quarantine: Quarantine,
     /// Lost attempts whose servers are being probed.
-    pub lost_attempts: Losses,
+    pub lost_attempts: LostAttempts,
     /// Peers whose state differs.
-    pub divergence: Drift,
+    pub divergence: DivergenceDetector,
     /// Known servers, and which of them are leaving.
-    pub registry: Roster,
+    pub registry: ServerRegistry,
     /// Servers that asked to back off.
-    pub backoffs: Pauses,
+    pub backoffs: BackOffs,
     /// Addresses that a mutant takes as those of leaving servers.
     pub left_addresses: HashSet<std::net::SocketAddr>,
     /// Incarnation of the process.
@@ -70,7 +70,7 @@
     /// Until when it is cut off from the network.
     pub isolated_until: Timestamp,
     /// Updates to be published.
-    pub updates: Vec<Word>,
+    pub updates: Vec<QuarantineUpdate>,
     /// Number of its latest probe; starts at a value that no other incarnation uses.
     pub probes: u64,
     mutant: Option<Mutant>,
@@ -81,10 +81,10 @@
     pub fn new(incarnation: u32, probes: u64, mutant: Option<Mutant>) -> Self {
         GatewayProcess {
             quarantine: Quarantine::default(),
-            lost_attempts: Losses::default(),
-            divergence: Drift::default(),
-            registry: Roster::default(),
-            backoffs: Pauses::default(),
+            lost_attempts: LostAttempts::default(),
+            divergence: DivergenceDetector::default(),
+            registry: ServerRegistry::default(),
+            backoffs: BackOffs::default(),
             left_addresses: HashSet::new(),
             incarnation,
             up: true,
@@ -101,9 +101,9 @@
     }
 
     /// Decides how a request is treated, and starts the probe of a suspect.
-    pub fn admit(&mut self, now: Timestamp, digest: Content) -> Standing {
+    pub fn admit(&mut self, now: Timestamp, digest: RequestDigest) -> QuarantineState {
         let standing = self.quarantine.standing(now, &digest);
-        if standing == Standing::Suspect {
+        if standing == QuarantineState::Suspect {
             self.probes += 1;
             self.record(now, digest, Duration::ZERO, Fact::Trying(self.probes));
         }
@@ -111,22 +111,23 @@
     }
 
     /// Whether a request is confirmed to crash servers.
-    pub fn is_confirmed(&self, now: Timestamp, digest: &Content) -> bool {
-        matches!(self.quarantine.standing(now, digest), Standing::Proved(_))
+    pub fn is_confirmed(&self, now: Timestamp, digest: &RequestDigest) -> bool {
+        matches!(self.quarantine.standing(now, digest), QuarantineState::Confirmed(_))
     }
 
     /// Whether a request may be sent to a server.
     pub fn may_send(&self, now: Timestamp, server: &Server, retry: bool) -> bool {
         let ignores = retry && self.mutant == Some(Mutant::PauseIgnored);
-        let open = ignores || self.backoffs.is_open(now, &server.id);
+        let open = ignores || self.backoffs.is_available(now, &server.id);
         open && !self.registry.has_left(&server.id.name)
             && !self.left_addresses.contains(&server.addr)
     }
 
     /// An attempt broke off.
-    pub fn on_attempt_lost(&mut self, server: &Server, loss: Loss) {
+    pub fn on_attempt_lost(&mut self, server: &Server, loss: LostAttempt) {
         let now = loss.at;
-        if self.registry.has_left(&server.id.name) || self.quarantine.is_sound(now, &loss.content) {
+        if self.registry.has_left(&server.id.name) || self.quarantine.is_healthy(now, &loss.content)
+        {
             return;
         }
         match self.mutant {
@@ -142,13 +143,13 @@
         if loss.early {
             self.record(now, loss.content, Duration::ZERO, Fact::Lost(loss.number));
         }
-        self.lost_attempts.lost(server, loss, STREAM_WAIT);
+        self.lost_attempts.add(server, loss, STREAM_PROBE_DELAY);
     }
 
     /// A server incarnation is known to have crashed.
     pub fn on_crash(&mut self, now: Timestamp, id: &ServerId) {
-        for loss in self.lost_attempts.ended(id) {
-            if self.quarantine.is_sound(loss.at, &loss.content) {
+        for loss in self.lost_attempts.on_crash(id) {
+            if self.quarantine.is_healthy(loss.at, &loss.content) {
                 continue;
             }
             let fact = Fact::Ended(id.clone(), loss.early);
@@ -161,14 +162,14 @@
 
     /// A server incarnation answered something that was sent at `sent`.
     pub fn on_alive(&mut self, now: Timestamp, id: &ServerId, sent: Timestamp) {
-        for loss in self.lost_attempts.alive(id, sent) {
+        for loss in self.lost_attempts.on_answer(id, sent) {
             self.record(now, loss.content, Duration::ZERO, Fact::Over(loss.number));
         }
     }
 
     /// A request was answered completely.
-    pub fn on_served(&mut self, now: Timestamp, digest: Content) {
-        if self.quarantine.served_here(now, digest) {
+    pub fn on_served(&mut self, now: Timestamp, digest: RequestDigest) {
+        if self.quarantine.on_served(now, digest) {
             self.record(now, digest, Duration::ZERO, Fact::Served);
         }
     }
@@ -178,18 +179,18 @@
         if self.mutant == Some(Mutant::LeavingByAddress) {
             self.left_addresses.insert(server.addr);
         }
-        self.registry.hear_leaving(&server.id)
+        self.registry.on_leaving(&server.id)
     }
 
     /// A server asked to back off for a while.
     pub fn on_backoff(&mut self, now: Timestamp, id: &ServerId, backoff: Duration) {
-        self.backoffs.note(now, id, Pause::For(backoff));
+        self.backoffs.record(now, id, BackOff::For(backoff));
     }
 
     /// Records a fact observed here, and queues it to be published to all gateways.
-    pub fn record(&mut self, now: Timestamp, digest: Content, ago: Duration, fact: Fact) {
-        let update = Word { content: digest, age: ago.as_millis() as u64, fact };
-        self.quarantine.take(now, &update);
+    pub fn record(&mut self, now: Timestamp, digest: RequestDigest, ago: Duration, fact: Fact) {
+        let update = QuarantineUpdate { content: digest, age: ago.as_millis() as u64, fact };
+        self.quarantine.apply(now, &update);
         if self.mutant != Some(Mutant::Alone) {
             self.updates.push(update);
         }
--- a/crates/check/src/answers/simulation.rs
+++ b/crates/check/src/answers/simulation.rs
@@ -5,11 +5,11 @@
 
 use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::catalog::{Server, ServerId, Stage};
-use ebonyloft_router::content::Content;
-use ebonyloft_router::losses::{Found, Loss};
-use ebonyloft_router::quarantine::{Ending, Fact, Standing, Word};
-use ebonyloft_router::roster::{Change, Entry};
-use ebonyloft_router::share::{News, Notes};
+use ebonyloft_router::load_report::{GossipMessage, GossipState};
+use ebonyloft_router::lost_attempts::{LostAttempt, ProbeResult};
+use ebonyloft_router::quarantine::{Crash, Fact, QuarantineState, QuarantineUpdate};
+use ebonyloft_router::registry::{Change, Registration};
+use ebonyloft_router::request_digest::RequestDigest;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -85,7 +85,7 @@
 /// A caller's request.
 #[derive(Clone, Copy, Debug)]
 struct Request {
-    digest: Content,
+    digest: RequestDigest,
     /// Whether it crashes servers.
     crashes_servers: bool,
     tries: u32,
@@ -100,11 +100,11 @@
     ReachServer(u64),
     StageDone(u64),
     StartDecode(Attempt),
-    Crash(usize, ServerId, Option<Content>),
+    Crash(usize, ServerId, Option<RequestDigest>),
     Restart(usize),
     RegistrationExpired(ServerId),
     AnswerLost(u64),
-    Gossip(usize, u32, Notes),
+    Gossip(usize, u32, GossipState),
     ProbeLost(usize, u32),
     ProbeAnswered(usize, u32, ServerId, Timestamp),
     CompareChecksums,
@@ -113,8 +113,8 @@
     IsolateGateway(usize, Duration),
     ServerLeaves(usize),
     ServerBacksOff(usize, Duration),
-    StoreConfirmed(Content),
-    StoreSuspect(Content, Vec<Ending>),
+    StoreConfirmed(RequestDigest),
+    StoreSuspect(RequestDigest, Vec<Crash>),
 }
 
 /// A simulated backend server.
@@ -141,13 +141,13 @@
     attempts: BTreeMap<u64, Attempt>,
     next_id: u64,
     /// Confirmed requests in the store.
-    stored_confirmed: HashSet<Content>,
+    stored_confirmed: HashSet<RequestDigest>,
     /// Crashes of suspect requests in the store.
-    suspects: HashMap<Content, Vec<Ending>>,
+    suspects: HashMap<RequestDigest, Vec<Crash>>,
     /// When servers crashed under each request.
-    crashes: HashMap<Content, Vec<Timestamp>>,
+    crashes: HashMap<RequestDigest, Vec<Timestamp>>,
     /// When each crashing request reached servers that it crashes.
-    reached: HashMap<Content, Vec<Timestamp>>,
+    reached: HashMap<RequestDigest, Vec<Timestamp>>,
     /// When each gateway incarnation learned from each server that it leaves.
     leaving_learned: HashMap<(usize, u32, ServerId), Timestamp>,
     /// Back-off of each server at each gateway incarnation: when it was learned, its end, and later sends.
@@ -214,7 +214,7 @@
         for n in 0..CRASHING {
             let mut at = ms(500 + n * 700);
             while at < SEND_TIME {
-                self.queue.schedule(at, Event::Request(self.request(Content(n, 0), true)));
+                self.queue.schedule(at, Event::Request(self.request(RequestDigest(n, 0), true)));
                 at += REPEAT_INTERVAL;
             }
         }
@@ -222,7 +222,7 @@
         let mut n = 1_000;
         while at < SEND_TIME {
             n += 1;
-            self.queue.schedule(at, Event::Request(self.request(Content(n, 1), false)));
+            self.queue.schedule(at, Event::Request(self.request(RequestDigest(n, 1), false)));
             at += OTHER_INTERVAL;
         }
         self.queue.schedule(CHECKSUM_INTERVAL, Event::CompareChecksums);
@@ -264,7 +264,7 @@
         }
     }
 
-    fn request(&self, digest: Content, crashes_servers: bool) -> Request {
+    fn request(&self, digest: RequestDigest, crashes_servers: bool) -> Request {
         Request { digest, crashes_servers, tries: 0, first_sent: Timestamp::default(), probe: 0 }
     }
 
@@ -287,7 +287,7 @@
             self.handle(event);
         }
         for n in 0..CRASHING {
-            let digest = Content(n, 0);
+            let digest = RequestDigest(n, 0);
             let mut crashes = self.crashes.remove(&digest).unwrap_or_default();
             crashes.sort();
             let reached = self.reached.remove(&digest).unwrap_or_default();
@@ -374,14 +374,14 @@
     fn admit(&mut self, gateway: usize, mut request: Request) {
         let (now, digest) = (self.queue.now(), self.counted_as(&request));
         match self.gateways[gateway].admit(now, digest) {
-            Standing::Free => {}
-            Standing::Suspect => request.probe = self.gateways[gateway].probes,
-            Standing::Held(_) if now < request.first_sent.after(SUSPECT_WAIT) => {
+            QuarantineState::Free => {}
+            QuarantineState::Suspect => request.probe = self.gateways[gateway].probes,
+            QuarantineState::Held(_) if now < request.first_sent.after(SUSPECT_WAIT) => {
                 // It waits at its gateway, or its caller sends it again.
                 return self.queue.schedule(SUSPECT_RETRY, Event::Request(request));
             }
-            Standing::Held(_) => return,
-            Standing::Proved(_) => {
+            QuarantineState::Held(_) => return,
+            QuarantineState::Confirmed(_) => {
                 self.tally.refused += usize::from(!request.crashes_servers);
                 return;
             }
@@ -391,10 +391,10 @@
     }
 
     /// The digest under which the gateway counts a request.
-    fn counted_as(&mut self, request: &Request) -> Content {
+    fn counted_as(&mut self, request: &Request) -> RequestDigest {
         if self.spec.mutant == Some(Mutant::ById) {
             self.next_id += 1;
-            return Content(self.next_id, u64::MAX);
+            return RequestDigest(self.next_id, u64::MAX);
         }
         request.digest
     }
@@ -557,7 +557,8 @@
         if gateway.is_reachable(now) && gateway.incarnation == attempt.incarnation {
             let first_output = attempt.began.map(|at| at.after(ms(30)));
             let early = first_output.is_none_or(|at| now < at.after(ms(1_000)));
-            let loss = Loss { content: digest, early, sent: attempt.sent, at: now, number: n };
+            let loss =
+                LostAttempt { content: digest, early, sent: attempt.sent, at: now, number: n };
             let prefill = attempt.phase == Phase::Prefill;
             if !(prefill && self.spec.mutant == Some(Mutant::ReadingFree)) {
                 gateway.on_attempt_lost(&self.backends[attempt.server].server, loss);
@@ -584,10 +585,10 @@
             return;
         }
         process.lost_attempts.expire(now);
-        for (id, _) in process.lost_attempts.ask(now) {
+        for (id, _) in process.lost_attempts.due_probes(now) {
             self.queue.schedule(ms(2), Event::ProbeAnswered(gateway, incarnation, id, now));
         }
-        if let Some(at) = self.gateways[gateway].lost_attempts.next_ask() {
+        if let Some(at) = self.gateways[gateway].lost_attempts.next_probe_at() {
             self.queue.schedule(at.since(now).max(ms(1)), Event::ProbeLost(gateway, incarnation));
         }
     }
@@ -603,16 +604,16 @@
         let base = |id: &ServerId| id.name.split('+').next().map(str::to_owned);
         let backend = self.backends.iter().find(|h| base(&h.server.id) == base(id));
         let found = match backend {
-            Some(backend) if backend.up && backend.server.id == *id => Found::Alive,
-            Some(backend) if backend.up => Found::Other,
-            _ => Found::Nobody,
+            Some(backend) if backend.up && backend.server.id == *id => ProbeResult::Alive,
+            Some(backend) if backend.up => ProbeResult::Other,
+            _ => ProbeResult::Nobody,
         };
         let process = &mut self.gateways[gateway];
         if process.incarnation != incarnation || !process.is_reachable(now) {
             return;
         }
-        let ended = process.lost_attempts.found(id, found);
-        if found == Found::Alive {
+        let ended = process.lost_attempts.on_probe_result(id, found);
+        if found == ProbeResult::Alive {
             process.on_alive(now, id, sent);
         }
         if ended {
@@ -621,7 +622,7 @@
         self.publish_updates(gateway);
     }
 
-    fn crash(&mut self, backend: usize, id: &ServerId, digest: Option<Content>) {
+    fn crash(&mut self, backend: usize, id: &ServerId, digest: Option<RequestDigest>) {
         let now = self.queue.now();
         if !self.backends[backend].up || self.backends[backend].server.id != *id {
             return;
@@ -655,7 +656,7 @@
     fn register(&mut self, n: usize) {
         let server = self.backends[n].server.clone();
         for gateway in self.gateways.iter_mut() {
-            let entry = Entry::Server(server.clone());
+            let entry = Registration::Server(server.clone());
             let change = Change { name: server.id.name.clone(), entry, revision: self.next_id + 1 };
             gateway.registry.apply(change, true);
         }
@@ -688,19 +689,21 @@
         for backend in 0..self.backends.len() {
             let server = self.backends[backend].server.clone();
             let name = server.id.name.clone();
-            let change = Change { name, entry: Entry::Server(server), revision: 1 };
+            let change = Change { name, entry: Registration::Server(server), revision: 1 };
             self.gateways[n].registry.apply(change, true);
         }
         if !self.starts_empty() {
             for digest in self.stored_confirmed.iter() {
-                let update = Word { content: *digest, age: 0, fact: Fact::Proved };
-                self.gateways[n].quarantine.take(now, &update);
+                let update = QuarantineUpdate { content: *digest, age: 0, fact: Fact::Proved };
+                self.gateways[n].quarantine.apply(now, &update);
             }
             for (digest, crashes) in &self.suspects {
                 for crash in crashes {
                     let age = now.since(crash.at).as_millis() as u64;
                     let fact = Fact::Ended(crash.server.clone(), crash.early);
-                    self.gateways[n].quarantine.take(now, &Word { content: *digest, age, fact });
+                    self.gateways[n]
+                        .quarantine
+                        .apply(now, &QuarantineUpdate { content: *digest, age, fact });
                 }
             }
         }
@@ -721,32 +724,32 @@
                     .schedule(ms(self.rng.random_range(10..60)), Event::StoreConfirmed(digest));
             }
             let known = &self.gateways[from].quarantine;
-            if known.is_close(&update.content) && !self.starts_empty() {
+            if known.is_nearly_confirmed(&update.content) && !self.starts_empty() {
                 let event =
-                    Event::StoreSuspect(update.content, known.endings(&update.content).to_vec());
+                    Event::StoreSuspect(update.content, known.crashes(&update.content).to_vec());
                 self.queue.schedule(ms(self.rng.random_range(10..60)), event);
             }
         }
         if !updates.is_empty() && self.gateways[from].is_reachable(now) {
-            self.publish(from, Notes { words: updates, ..Notes::default() });
+            self.publish(from, GossipState { words: updates, ..GossipState::default() });
         }
     }
 
-    fn newly_confirmed(&self, gateway: usize, update: &Word) -> Option<Content> {
+    fn newly_confirmed(&self, gateway: usize, update: &QuarantineUpdate) -> Option<RequestDigest> {
         let confirmed = self.gateways[gateway].is_confirmed(self.queue.now(), &update.content);
         let may_confirm = matches!(update.fact, Fact::Ended(..) | Fact::Proved);
         (confirmed && may_confirm && !self.starts_empty()).then_some(update.content)
     }
 
     fn publish_leaving(&mut self, from: usize, id: &ServerId) {
-        self.publish(from, Notes { leaving: vec![id.clone()], ..Notes::default() });
+        self.publish(from, GossipState { leaving: vec![id.clone()], ..GossipState::default() });
     }
 
-    fn publish(&mut self, from: usize, notes: Notes) {
+    fn publish(&mut self, from: usize, notes: GossipState) {
         let second = self.queue.now().as_millis() / 1_000;
         let mut bytes = Vec::new();
         // Encoding plain data can't fail.
-        let _ = ciborium::into_writer(&News::Notes(notes.clone()), &mut bytes);
+        let _ = ciborium::into_writer(&GossipMessage::Notes(notes.clone()), &mut bytes);
         let sent = bytes.len() * 2 * (self.gateways.len() - 1);
         *self.bytes.entry((from, second)).or_default() += sent;
         for to in (0..self.gateways.len()).filter(|to| *to != from) {
@@ -760,17 +763,17 @@
         }
     }
 
-    fn on_gossip(&mut self, to: usize, incarnation: u32, notes: &Notes) {
+    fn on_gossip(&mut self, to: usize, incarnation: u32, notes: &GossipState) {
         let now = self.queue.now();
         let gateway = &mut self.gateways[to];
         if gateway.incarnation != incarnation || !gateway.is_reachable(now) {
             return;
         }
         for update in &notes.words {
-            gateway.quarantine.take(now, update);
+            gateway.quarantine.apply(now, update);
         }
         for id in &notes.leaving {
-            gateway.registry.hear_leaving(id);
+            gateway.registry.on_leaving(id);
         }
         let (suspects, confirmed) = gateway.quarantine.counts();
         self.tally.rows = self.tally.rows.max(suspects + confirmed);
@@ -783,7 +786,7 @@
         if self.starts_empty() {
             return;
         }
-        let sums: Vec<u64> = self.gateways.iter().map(|g| g.quarantine.sum()).collect();
+        let sums: Vec<u64> = self.gateways.iter().map(|g| g.quarantine.checksum()).collect();
         for from in 0..self.gateways.len() {
             for _ in 0..CHECKSUM_PEERS.min(self.gateways.len() - 1) {
                 let to = (from + 1 + self.rng.random_range(0..self.gateways.len() - 1))
@@ -792,7 +795,7 @@
                     continue;
                 }
                 let same = sums[from] == sums[to];
-                if self.gateways[to].divergence.hear(now, &format!("g{from}"), same) {
+                if self.gateways[to].divergence.observe(now, &format!("g{from}"), same) {
                     self.exchange_tables(from, to);
                 }
             }
@@ -802,12 +805,12 @@
     fn exchange_tables(&mut self, a: usize, b: usize) {
         let now = self.queue.now();
         let (from_a, from_b) =
-            (self.gateways[a].quarantine.table(now), self.gateways[b].quarantine.table(now));
+            (self.gateways[a].quarantine.updates(now), self.gateways[b].quarantine.updates(now));
         from_a.iter().for_each(|update| {
-            self.gateways[b].quarantine.take(now, update);
+            self.gateways[b].quarantine.apply(now, update);
         });
         from_b.iter().for_each(|update| {
-            self.gateways[a].quarantine.take(now, update);
+            self.gateways[a].quarantine.apply(now, update);
         });
     }
 }
--- a/crates/check/src/soak/simulation/faults.rs
+++ b/crates/check/src/soak/simulation/faults.rs
@@ -77,7 +77,7 @@
         for entry in &mut self.entries {
             entry.known_sidecars.push(peer.clone());
         }
-        let next = self.current_placement().join(&peer);
+        let next = self.current_placement().add_owner(&peer);
         if self.rng.random_bool(0.7) {
             self.publish_placement(next);
         }
@@ -131,11 +131,11 @@
             return;
         }
         self.sidecars[s].leaving = true;
-        self.sidecars[s].executor.leave();
+        self.sidecars[s].executor.start_draining();
         let me = self.sidecars[s].peer.clone();
         let owners = self.available_sidecars();
-        if self.current_placement().homes().contains(&me) {
-            let next = self.current_placement().leave(&me, &owners);
+        if self.current_placement().owners().contains(&me) {
+            let next = self.current_placement().start_handover(&me, &owners);
             self.publish_placement(next);
         }
         self.schedule(Duration::from_millis(200), Event::FinishLeaving { sidecar: s });
@@ -146,7 +146,7 @@
         if !self.sidecars[s].alive {
             return;
         }
-        let in_placement = self.current_placement().mentions(&self.sidecars[s].peer);
+        let in_placement = self.current_placement().contains_peer(&self.sidecars[s].peer);
         if self.sidecars[s].executor.open() > 0 || in_placement {
             return self.schedule(Duration::from_millis(200), Event::FinishLeaving { sidecar: s });
         }
--- a/crates/check/src/soak/simulation/shard_moves.rs
+++ b/crates/check/src/soak/simulation/shard_moves.rs
@@ -42,7 +42,7 @@
         }
         let epoch = self.sidecars[sidecar].ledger.placement().epoch;
         let incarnation = self.sidecars[sidecar].peer.life;
-        for wanted in self.sidecars[sidecar].ledger.wanted() {
+        for wanted in self.sidecars[sidecar].ledger.pending_handovers() {
             let wait = Duration::from_millis(self.rng.random_range(1..300));
             let (from, shards) = (wanted.from, wanted.slots);
             self.schedule(wait, Event::TakeOver { to: sidecar, incarnation, from, epoch, shards });
@@ -76,13 +76,13 @@
     }
 
     pub(super) fn record_taken_shards(&mut self, s: usize) {
-        let taken = self.sidecars[s].ledger.taken();
+        let taken = self.sidecars[s].ledger.finished_handovers();
         let current = self.current_placement().epoch == self.sidecars[s].ledger.placement().epoch;
         if taken.is_empty() || !current || self.rng.random_bool(0.9) {
             return;
         }
         let me = self.sidecars[s].peer.clone();
-        let next = self.current_placement().taken(&me, &taken);
+        let next = self.current_placement().finish_handover(&me, &taken);
         self.publish_placement(next);
     }
 
@@ -92,8 +92,8 @@
             entry.known_sidecars.retain(|p| p != peer);
         }
         let owners = self.available_sidecars();
-        if self.current_placement().mentions(peer) && !owners.is_empty() {
-            let next = self.current_placement().gone(peer, &owners, self.now);
+        if self.current_placement().contains_peer(peer) && !owners.is_empty() {
+            let next = self.current_placement().replace_lost_owner(peer, &owners, self.now);
             self.publish_placement(next);
         }
     }
