--- a/crates/daemon/tests/pool.rs
+++ b/crates/daemon/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Calls over slow links: steady answers are read whole, silent ones are given up.
+//! Timeouts of calls over slow links: a steady answer is read fully, a stalled one is given up.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -10,11 +10,11 @@
 use ebonyloftd::gateway::pool::{ExchangeError, Pool};
 use hyper::Request;
 
-const LIMIT: Duration = Duration::from_millis(300);
+const PAUSE_MAX: Duration = Duration::from_millis(300);
 const PARTS: usize = 20;
 
-/// Answers one call with twenty parts, 50 ms apart, and falls silent after some of them.
-fn slow_server(parts: usize) -> SocketAddr {
+/// Starts a server that promises twenty parts, sends `parts` of them 50 ms apart, and then stalls.
+fn start_slow_server(parts: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let addr = listener.local_addr().expect("an address");
     thread::spawn(move || {
@@ -37,20 +37,20 @@
     let runtime = compio::runtime::Runtime::new().expect("a runtime");
     runtime.block_on(async {
         let pool = Pool::new(Clock::default());
-        let answer = pool.call(addr, Request::new(Bytes::new()), LIMIT).await;
+        let answer = pool.call(addr, Request::new(Bytes::new()), PAUSE_MAX).await;
         answer.map(|(_, body)| body.len())
     })
 }
 
-/// It takes more than three times the limit, and never pauses for as long.
+/// The limit bounds each pause, not the whole answer: this one takes more than three times as long.
 #[test]
-fn an_answer_that_comes_steadily_is_read_whole() {
-    assert_eq!(call(slow_server(PARTS)), Ok(PARTS * 10));
+fn a_slow_steady_answer_is_read_completely() {
+    assert_eq!(call(start_slow_server(PARTS)), Ok(PARTS * 10));
 }
 
 #[test]
-fn an_answer_that_falls_silent_is_given_up() {
-    let began = Instant::now();
-    assert_eq!(call(slow_server(3)), Err(ExchangeError::Lost));
-    assert!(began.elapsed() < Duration::from_millis(1_500), "{:?}", began.elapsed());
+fn a_stalled_answer_is_given_up() {
+    let started_at = Instant::now();
+    assert_eq!(call(start_slow_server(3)), Err(ExchangeError::Lost));
+    assert!(started_at.elapsed() < Duration::from_millis(1_500), "{:?}", started_at.elapsed());
 }
--- a/crates/daemon/tests/soak.rs
+++ b/crates/daemon/tests/soak.rs
@@ -1,89 +1,90 @@
-//! Randomised faults on real gateway processes, and what callers and backend servers see of them.
+//! Random faults injected into real gateway processes; checks what callers and backend servers see.
 //!
-//! A short seeded run and all seeds that ever failed are run with the other tests. By hand:
+//! Short runs with fixed seeds and all seeds that ever failed run with the other tests. By hand:
 //!
 //!     EBONYLOFT_SOAK_SEEDS=50 cargo nextest run -p ebonyloftd --test soak --run-ignored only
 //!
-//! `EBONYLOFT_SOAK_FROM` is the first seed (the time of day without it), `EBONYLOFT_SOAK_SECS` how
-//! long each seed is played, `EBONYLOFT_SOAK_GATEWAYS` how many gateways run.
+//! `EBONYLOFT_SOAK_FROM` is the first seed (default: the current time), `EBONYLOFT_SOAK_SECS` the
+//! duration of fault injection per run, `EBONYLOFT_SOAK_GATEWAYS` the number of gateways.
 
 #[path = "soak/callers.rs"]
 mod callers;
+#[path = "soak/cluster.rs"]
+mod cluster;
 #[path = "soak/faults.rs"]
 mod faults;
-#[path = "soak/world.rs"]
-mod world;
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use self::world::{
-    ANSWER_KINDS, ENDING_KINDS, FIRST_KINDS, KEY_KINDS, KINDS, LEAVING_KINDS, LIMIT_KINDS, Plan,
-    SECOND_KINDS, play,
+use self::cluster::{
+    ACCOUNT_KINDS, BASIC_KINDS, CRASH_KINDS, DRAINING_KINDS, GENERAL_KINDS, Plan, RATE_LIMIT_KINDS,
+    REGISTRATION_KINDS, RESPONSE_KINDS, run_plan,
 };
 
-/// Seeds that failed once, each with what it showed.
-const KEPT: &[(u64, &str)] = &[
-    (110, "a summary whose time ran out while it was at an engine was called unrun"),
+/// Seeds that failed once, each with the fault that it found.
+const REGRESSION_SEEDS: &[(u64, &str)] = &[
+    (110, "a summary whose deadline passed while an engine ran it was reported as not run"),
     (140, "the same, at another gateway"),
-    (111, "callers of a process that was down were counted as served badly"),
-    (101, "a stand-in worked on beyond the time that came with the work, over a silent path"),
+    (111, "requests to a gateway process that was down were counted as failed"),
+    (101, "behind a silent network path, a stand-in worked beyond the deadline of its request"),
 ];
 
-fn number(name: &str) -> Option<u64> {
+fn env_number(name: &str) -> Option<u64> {
     std::env::var(name).ok()?.parse().ok()
 }
 
 #[test]
 fn a_short_run_keeps_the_promises() {
-    let plan = Plan { seed: 1, faults: Duration::from_secs(8), gateways: 3, kinds: FIRST_KINDS };
-    play(plan);
-    play(Plan { seed: 2, kinds: SECOND_KINDS, ..plan });
-    play(Plan { seed: 3, kinds: LEAVING_KINDS, ..plan });
+    let plan = Plan { seed: 1, faults: Duration::from_secs(8), gateways: 3, kinds: BASIC_KINDS };
+    run_plan(plan);
+    run_plan(Plan { seed: 2, kinds: REGISTRATION_KINDS, ..plan });
+    run_plan(Plan { seed: 3, kinds: DRAINING_KINDS, ..plan });
 }
 
 #[test]
 fn what_answers_tell_in_a_short_run() {
-    let plan = Plan { seed: 4, faults: Duration::from_secs(8), gateways: 3, kinds: ANSWER_KINDS };
-    play(plan);
-    play(Plan { seed: 5, kinds: ENDING_KINDS, ..plan });
+    let plan = Plan { seed: 4, faults: Duration::from_secs(8), gateways: 3, kinds: RESPONSE_KINDS };
+    run_plan(plan);
+    run_plan(Plan { seed: 5, kinds: CRASH_KINDS, ..plan });
 }
 
 #[test]
 fn limits_in_a_short_run() {
-    let plan = Plan { seed: 6, faults: Duration::from_secs(8), gateways: 3, kinds: LIMIT_KINDS };
-    play(plan);
-    play(Plan { seed: 7, gateways: 5, ..plan });
+    let plan =
+        Plan { seed: 6, faults: Duration::from_secs(8), gateways: 3, kinds: RATE_LIMIT_KINDS };
+    run_plan(plan);
+    run_plan(Plan { seed: 7, gateways: 5, ..plan });
 }
 
 #[test]
 fn keys_and_quotas_in_a_short_run() {
-    let plan = Plan { seed: 8, faults: Duration::from_secs(8), gateways: 3, kinds: KEY_KINDS };
-    play(plan);
-    play(Plan { seed: 9, gateways: 4, ..plan });
+    let plan = Plan { seed: 8, faults: Duration::from_secs(8), gateways: 3, kinds: ACCOUNT_KINDS };
+    run_plan(plan);
+    run_plan(Plan { seed: 9, gateways: 4, ..plan });
 }
 
 #[test]
 fn seeds_that_failed_keep_the_promises() {
-    for (seed, shown) in KEPT {
-        println!("seed {seed}: {shown}");
+    for (seed, found) in REGRESSION_SEEDS {
+        println!("seed {seed}: {found}");
         let faults = Duration::from_secs(8);
-        play(Plan { seed: *seed, faults, gateways: 3, kinds: FIRST_KINDS });
+        run_plan(Plan { seed: *seed, faults, gateways: 3, kinds: BASIC_KINDS });
     }
 }
 
 #[test]
-#[ignore = "takes as long as it is told to"]
+#[ignore = "runs as long as its environment variables say"]
 fn by_hand() {
-    let clock = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time after 1970").as_secs();
-    let first = number("EBONYLOFT_SOAK_FROM").unwrap_or(clock);
-    let faults = Duration::from_secs(number("EBONYLOFT_SOAK_SECS").unwrap_or(8));
-    let gateways = number("EBONYLOFT_SOAK_GATEWAYS").unwrap_or(3) as usize;
-    for seed in first..first + number("EBONYLOFT_SOAK_SEEDS").unwrap_or(5) {
-        play(Plan { seed, faults, gateways, kinds: KINDS });
-        play(Plan { seed, faults, gateways, kinds: LEAVING_KINDS });
-        play(Plan { seed, faults, gateways, kinds: ANSWER_KINDS });
-        play(Plan { seed, faults, gateways, kinds: ENDING_KINDS });
-        play(Plan { seed, faults, gateways, kinds: LIMIT_KINDS });
-        play(Plan { seed, faults, gateways, kinds: KEY_KINDS });
+    let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time after 1970").as_secs();
+    let first = env_number("EBONYLOFT_SOAK_FROM").unwrap_or(now);
+    let faults = Duration::from_secs(env_number("EBONYLOFT_SOAK_SECS").unwrap_or(8));
+    let gateways = env_number("EBONYLOFT_SOAK_GATEWAYS").unwrap_or(3) as usize;
+    for seed in first..first + env_number("EBONYLOFT_SOAK_SEEDS").unwrap_or(5) {
+        run_plan(Plan { seed, faults, gateways, kinds: GENERAL_KINDS });
+        run_plan(Plan { seed, faults, gateways, kinds: DRAINING_KINDS });
+        run_plan(Plan { seed, faults, gateways, kinds: RESPONSE_KINDS });
+        run_plan(Plan { seed, faults, gateways, kinds: CRASH_KINDS });
+        run_plan(Plan { seed, faults, gateways, kinds: RATE_LIMIT_KINDS });
+        run_plan(Plan { seed, faults, gateways, kinds: ACCOUNT_KINDS });
     }
 }
--- a/crates/daemon/tests/soak/callers.rs
+++ b/crates/daemon/tests/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that send one request after the other, and the promises that their answers must keep.
+//! Callers that send requests one after the other, and checks of the answers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,107 +9,129 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::world::World;
+use crate::cluster::Cluster;
 
-/// Longest wait of a caller for a whole answer; longer than any route's time.
-const PATIENCE: Duration = Duration::from_secs(16);
+/// Time after which a caller gives up an answer; longer than the timeout of any route.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(16);
 
-/// What was promised, to be held against what ran.
+/// What the answers promised, to be compared with what the backend servers ran.
 #[derive(Default)]
-pub struct Ledger {
-    /// Attempts that were told that they did not run.
-    unrun: Vec<String>,
-    /// Attempts that may run once.
-    once: Vec<String>,
+pub struct Expectations {
+    /// Attempts that were answered as not run.
+    not_run: Vec<String>,
+    /// Attempts that may run at most once.
+    at_most_once: Vec<String>,
+    /// Complete answers to the counted requests.
     served: usize,
-    asked: usize,
+    /// Requests sent while a backend server could serve them.
+    counted: usize,
 }
 
-impl Ledger {
-    /// Checks all promises at the end of a run.
-    pub fn check(&self, world: &World) {
-        let seed = world.plan.seed;
-        for attempt in &self.unrun {
-            assert_eq!(world.runs(attempt), 0, "seed {seed}: {attempt} ran, and was called unrun");
+impl Expectations {
+    /// Compares all promises with the runs of the backend servers, at the end.
+    pub fn check(&self, cluster: &Cluster) {
+        let seed = cluster.plan.seed;
+        for attempt in &self.not_run {
+            assert_eq!(
+                cluster.runs(attempt),
+                0,
+                "seed {seed}: {attempt} ran, but was answered as not run"
+            );
         }
-        for attempt in &self.once {
-            assert!(world.runs(attempt) <= 1, "seed {seed}: {attempt} ran more than once");
+        for attempt in &self.at_most_once {
+            assert!(cluster.runs(attempt) <= 1, "seed {seed}: {attempt} ran more than once");
         }
-        assert!(self.served * 4 > self.asked, "seed {seed}: {} of {}", self.served, self.asked);
-        let (left, ended, kept) = (world.left.get(), world.ended.get(), world.kept.get());
-        let (served, asked) = (self.served, self.asked);
+        assert!(self.served * 4 > self.counted, "seed {seed}: {} of {}", self.served, self.counted);
+        let (drains, crashes, accounts) = (
+            cluster.drains_checked.get(),
+            cluster.crash_contents.get(),
+            cluster.account_checks.get(),
+        );
+        let (served, counted) = (self.served, self.counted);
         println!(
-            "seed {seed}: {served} of {asked} served, {left} leavings kept, {ended} contents that end servers, \
-             {kept} keys and quotas kept"
+            "seed {seed}: {served} of {counted} served; checked {drains} drains, \
+             {crashes} crashing requests, {accounts} keys and quotas"
         );
     }
 }
 
-/// Sends requests to one gateway until the run ends; connections are kept until they break.
-pub async fn calls(world: Rc<World>, n: usize) {
-    let mut rng = ChaCha8Rng::seed_from_u64(world.plan.seed << 8 | n as u64);
-    let caller = world.caller(n / 2);
+/// Sends requests to one gateway until the run ends; connections are reused until they break.
+pub async fn send_requests(cluster: Rc<Cluster>, n: usize) {
+    let mut rng = ChaCha8Rng::seed_from_u64(cluster.plan.seed << 8 | n as u64);
+    let caller = cluster.caller(n / 2);
     let mut count = 0;
-    while world.open.get() {
+    while cluster.callers_running.get() {
         count += 1;
         let attempt = format!("a{n}-{count}");
         let path = [CHECK, LOOKUP, SUMMARY, ONCE_SUMMARY][rng.random_range(0..4)];
         if path == CHECK || path == ONCE_SUMMARY {
-            world.ledger.borrow_mut().once.push(attempt.clone());
+            cluster.expectations.borrow_mut().at_most_once.push(attempt.clone());
         }
-        let could = world.may_serve(path);
-        let sent = async {
+        let servable = cluster.is_servable(path);
+        let request = async {
             match path {
                 CHECK | LOOKUP => caller.call(path, &attempt).await,
                 _ => caller.summary(path, &attempt).await,
             }
         };
-        // One in ten callers leaves early.
-        let patience =
-            if rng.random_range(0..10) == 0 { Duration::from_millis(90) } else { PATIENCE };
-        match compio::time::timeout(patience, sent).await {
+        // One in ten callers disconnects early.
+        let timeout =
+            if rng.random_range(0..10) == 0 { Duration::from_millis(90) } else { ANSWER_TIMEOUT };
+        match compio::time::timeout(timeout, request).await {
             Ok(Ok(answer)) => {
-                let counts = could && world.may_serve(path);
-                world.ledger.borrow_mut().asked += usize::from(counts);
-                judge(&world, path, &attempt, &answer, counts);
+                let is_counted = servable && cluster.is_servable(path);
+                cluster.expectations.borrow_mut().counted += usize::from(is_counted);
+                check_answer(&cluster, path, &attempt, &answer, is_counted);
             }
-            // Nobody listened: the process was down, and a caller asks again at once.
+            // The process was down, so that the connection failed; not counted.
             Ok(Err(ExchangeError::Unsent)) => {}
             Ok(Err(ExchangeError::Lost)) | Err(_) => {
-                let counts = could && world.may_serve(path);
-                world.ledger.borrow_mut().asked += usize::from(counts);
+                let is_counted = servable && cluster.is_servable(path);
+                cluster.expectations.borrow_mut().counted += usize::from(is_counted);
             }
         }
         compio::time::sleep(Duration::from_millis(rng.random_range(5..60))).await;
     }
 }
 
-fn judge(world: &World, path: &str, attempt: &str, answer: &Answer, counts: bool) {
-    let seed = world.plan.seed;
+fn check_answer(cluster: &Cluster, path: &str, attempt: &str, answer: &Answer, is_counted: bool) {
+    let seed = cluster.plan.seed;
     match answer.status {
         200 if answer.whole => {
-            assert!(answer.header("server-stamp").is_some(), "seed {seed}: {attempt} is unsigned");
+            assert!(
+                answer.header("server-stamp").is_some(),
+                "seed {seed}: {attempt} has no server-stamp"
+            );
             let body = String::from_utf8_lossy(&answer.body);
             assert!(body.contains(attempt), "seed {seed}: {attempt} got {body}");
-            assert!(world.runs(attempt) > 0, "seed {seed}: {attempt} never ran");
+            assert!(cluster.runs(attempt) > 0, "seed {seed}: {attempt} never ran");
             if path == SUMMARY || path == ONCE_SUMMARY {
                 let all: Vec<u64> = (1..=20).collect();
-                assert_eq!(answer.events(), all, "seed {seed}: {attempt} looks whole");
+                assert_eq!(answer.events(), all, "seed {seed}: {attempt} misses events");
             }
-            world.ledger.borrow_mut().served += usize::from(counts);
+            cluster.expectations.borrow_mut().served += usize::from(is_counted);
         }
         200 => {
             let events = answer.events();
-            let run: Vec<u64> = (1..=events.len() as u64).collect();
-            assert_eq!(events, run, "seed {seed}: {attempt} has a gap");
+            let expected: Vec<u64> = (1..=events.len() as u64).collect();
+            assert_eq!(events, expected, "seed {seed}: {attempt} has a gap");
         }
         429 | 503 | 408 | 421 => {
-            assert_eq!(world.runs(attempt), 0, "seed {seed}: {attempt} ran, and is called unrun");
-            world.ledger.borrow_mut().unrun.push(attempt.to_owned());
+            assert_eq!(
+                cluster.runs(attempt),
+                0,
+                "seed {seed}: {attempt} ran, but was answered as not run"
+            );
+            cluster.expectations.borrow_mut().not_run.push(attempt.to_owned());
+        }
+        500 => {
+            assert!(answer.header("server-stamp").is_some(), "seed {seed}: a 500 from the gateway")
         }
-        500 => assert!(answer.header("server-stamp").is_some(), "seed {seed}: 500 of our own"),
-        502 => assert!(answer.header("server-stamp").is_none(), "seed {seed}: a stamped 502"),
-        // A backend server answers so itself when the time that came with the work is over.
+        502 => assert!(
+            answer.header("server-stamp").is_none(),
+            "seed {seed}: a 502 with a server-stamp"
+        ),
+        // A backend server itself answers 504 once the deadline of a request has passed.
         504 => {}
         other => panic!("seed {seed}: {attempt} got {other}"),
     }
--- /dev/null
+++ b/crates/daemon/tests/soak/cluster.rs
@@ -0,0 +1,394 @@
+//! The tested system: a store and backend servers in this process, gateways as child processes, and
+//! relays on the network paths between them.
+
+use std::cell::{Cell, RefCell};
+use std::collections::{BTreeSet, HashSet};
+use std::net::{Ipv4Addr, SocketAddr};
+use std::path::PathBuf;
+use std::process::{Child, Command, Stdio};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use compio::net::TcpListener;
+use ebonyloft_platform::serve::{self, ServedAccount};
+use ebonyloft_platform::store::CONFIG_KEY;
+use ebonyloft_router::catalog::{Server, ServerId, Stage};
+use ebonyloft_standins::fleet::caller::Caller;
+use ebonyloft_standins::fleet::runner::{self, Runner, RunnerSpec};
+use ebonyloft_standins::fleet::store::{self, Store};
+use ebonyloft_standins::fleet::{CHECK, ENGINES, FleetSpec, ONCE_SUMMARY, PLAIN, SUMMARY, config};
+use ebonyloft_standins::relay::{self, RelaySwitch};
+use rustix::process::{Pid, Signal, kill_process};
+
+use crate::callers::{Expectations, send_requests};
+use crate::faults::inject_faults;
+
+/// Time after the last fault within which every gateway must serve again.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
+
+/// Time after a fault that outdates server lists until all gateways are up to date again.
+const SETTLE_TIME: Duration = Duration::from_secs(4);
+
+/// Parameters of one run.
+#[derive(Clone, Copy, Debug)]
+pub struct Plan {
+    pub seed: u64,
+    /// How long faults are injected.
+    pub faults: Duration,
+    pub gateways: usize,
+    /// Kinds of faults to draw from: numbers of the arms in `faults::inject_fault`. Each list is
+    /// fixed, so that a seed plays the same faults after new kinds were added.
+    pub kinds: &'static [u32],
+}
+
+/// Faults of gateways, the store, network paths and servers. Used by the regression seeds.
+pub const BASIC_KINDS: &[u32] = &[0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10];
+/// These, and servers that restart under their name or have an invalid registration.
+pub const REGISTRATION_KINDS: &[u32] = &[0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12];
+/// These, and servers that drain while every second gateway is cut off from the store.
+pub const GENERAL_KINDS: &[u32] = &[0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13];
+/// Servers that drain while every second gateway is cut off from the store, with the faults that
+/// leave those gateways another way to learn of it.
+pub const DRAINING_KINDS: &[u32] = &[0, 1, 3, 6, 8, 10, 11, 12, 13, 13, 13];
+
+/// Requests that crash servers, and servers that announce a drain or a pause in their answers, with
+/// the faults that leave all gateways a way to learn of it.
+pub const RESPONSE_KINDS: &[u32] = &[3, 6, 8, 10, 14, 14, 15, 15, 16];
+/// Requests that crash servers while gateways are killed and stopped and the store is unavailable.
+pub const CRASH_KINDS: &[u32] = &[0, 1, 3, 4, 6, 8, 10, 11, 14, 14, 14];
+/// Servers that announce rate limits, with faults of gateways, of the store and of network paths.
+pub const RATE_LIMIT_KINDS: &[u32] = &[0, 1, 2, 3, 4, 5, 6, 8, 10, 12, 17, 17, 17, 17];
+
+/// Keys that are revoked and quotas that are exceeded, with faults of gateways, of the store and of
+/// network paths.
+pub const ACCOUNT_KINDS: &[u32] = &[0, 1, 2, 3, 4, 5, 6, 8, 10, 12, 18, 18, 18, 19, 19];
+
+/// Key of an account without a quota.
+pub const UNLIMITED_KEY: &str = "steady";
+/// Key of an account with a quota.
+pub const QUOTA_KEY: &str = "bounded";
+/// Tokens that one call to a plain service counts.
+pub const TOKENS_PER_CALL: u64 = 200;
+/// Quota of that account: tokens per second, and burst.
+pub const QUOTA: (u64, u64) = (4_000, 4_000);
+/// Time after its revocation by which no gateway may accept a key.
+pub const REVOKE_BOUND: Duration = Duration::from_millis(3_000);
+
+/// A gateway process, which can be restarted under the same settings.
+pub struct Gateway {
+    ip: Ipv4Addr,
+    child: RefCell<Child>,
+    file: PathBuf,
+}
+
+/// All processes, stand-ins and counters of a run.
+pub struct Cluster {
+    pub plan: Plan,
+    pub store: Rc<Store>,
+    /// On the path of all gateways to the store.
+    pub store_relay: RelaySwitch,
+    /// On the path of every second gateway, in front of `store_relay`.
+    pub second_relay: RelaySwitch,
+    /// Until when a gateway may use an outdated server list, since it was stopped or the store
+    /// could not be reached by any gateway.
+    pub stale_until: Cell<Instant>,
+    /// Drained servers for which the checks saw no late requests.
+    pub drains_checked: Cell<u32>,
+    /// Request contents that crash servers, so far.
+    pub crash_contents: Cell<u32>,
+    /// Keys in force that a fault will revoke.
+    pub revocable_keys: RefCell<BTreeSet<String>>,
+    /// Is a fault exceeding the quota now? Only one may at a time.
+    pub flooding: Cell<bool>,
+    /// Checks of revoked keys and of quotas that passed.
+    pub account_checks: Cell<u32>,
+    /// Names of servers that announce a rate limit now.
+    pub limited_servers: RefCell<HashSet<String>>,
+    pub runners: Vec<(Rc<Runner>, RelaySwitch)>,
+    pub gateways: Vec<Gateway>,
+    pub expectations: RefCell<Expectations>,
+    pub config_version: Cell<u64>,
+    /// Callers send requests while this is true.
+    pub callers_running: Cell<bool>,
+}
+
+impl Plan {
+    /// Does the configuration have accounts, so that callers need keys?
+    pub fn needs_keys(&self) -> bool {
+        self.kinds.contains(&18)
+    }
+}
+
+/// A configuration as an operator writes it, with the given revocable keys.
+fn configuration(version: u64, plan: Plan, keys: &BTreeSet<String>) -> Vec<u8> {
+    let config = config(version, &FleetSpec::default());
+    if !plan.needs_keys() {
+        return serve::config(&config);
+    }
+    let account = |name: &str, keys: Vec<String>, quota| ServedAccount {
+        name: name.to_owned(),
+        keys,
+        quota,
+        plain: TOKENS_PER_CALL,
+        ..ServedAccount::default()
+    };
+    let accounts = [
+        account("steady", vec![UNLIMITED_KEY.to_owned()], None),
+        account("bounded", vec![QUOTA_KEY.to_owned()], Some(QUOTA)),
+        account("short", keys.iter().cloned().collect(), None),
+    ];
+    serve::keyed_config(&config, &accounts)
+}
+
+/// Runs one plan. Failures name the seed.
+pub fn run_plan(plan: Plan) {
+    let runtime = compio::runtime::Runtime::new().expect("a runtime");
+    runtime.block_on(async {
+        let cluster = Rc::new(Cluster::start(plan).await);
+        cluster.wait_ready().await;
+        let callers: Vec<_> = (0..plan.gateways * 2)
+            .map(|n| compio::runtime::spawn(send_requests(cluster.clone(), n)))
+            .collect();
+        inject_faults(&cluster).await;
+        cluster.check_recovery().await;
+        cluster.callers_running.set(false);
+        for caller in callers {
+            caller.await.expect("a caller's task");
+        }
+        cluster.check_idle().await;
+        cluster.kill_gateways();
+    });
+}
+
+impl Cluster {
+    async fn start(plan: Plan) -> Cluster {
+        let pid = std::process::id();
+        let net = [128 + (pid >> 8 & 0x7f) as u8, (pid & 0xff) as u8];
+        let ip = |host: u8| Ipv4Addr::new(127, net[0], net[1], host);
+        let store = Store::start((ip(1), 8_142).into()).await;
+        store.put(CONFIG_KEY, &configuration(1, plan, &BTreeSet::new()), 0);
+        let store_relay = start_relay((ip(2), 8_142).into(), (ip(1), 8_142).into()).await;
+        let second_relay = start_relay((ip(3), 8_142).into(), (ip(2), 8_142).into()).await;
+        let mut runners = Vec::new();
+        let stages = [Some(Stage::Prefill), Some(Stage::Decode), Some(Stage::Decode), None, None];
+        for (i, stage) in stages.into_iter().enumerate() {
+            let host = 10 + i as u8;
+            let server = Server {
+                id: ServerId::new(format!("i-{host}"), 0),
+                service: if stage.is_some() { ENGINES } else { PLAIN }.to_owned(),
+                addr: (ip(host), 8_147).into(),
+                zone: "a".to_owned(),
+                slots: 12,
+                draining: false,
+                stage,
+            };
+            let runner = Runner::start(server, RunnerSpec::default()).await;
+            let front: SocketAddr = (ip(host + 20), 8_147).into();
+            let switch = start_relay(front, (ip(host), 8_147).into()).await;
+            runner.server.borrow_mut().addr = front;
+            runner.keep_registered(&store);
+            store.register(&runner.server.borrow());
+            runners.push((runner, switch));
+        }
+        let start = |n: usize| Gateway::start(ip(100 + n as u8), ip(2 + n as u8 % 2));
+        let gateways = (0..plan.gateways).map(start).collect();
+        Cluster {
+            plan,
+            store,
+            store_relay,
+            second_relay,
+            stale_until: Cell::new(Instant::now()),
+            drains_checked: Cell::default(),
+            crash_contents: Cell::default(),
+            revocable_keys: RefCell::default(),
+            flooding: Cell::default(),
+            account_checks: Cell::default(),
+            limited_servers: RefCell::default(),
+            runners,
+            gateways,
+            expectations: RefCell::default(),
+            config_version: Cell::new(1),
+            callers_running: Cell::new(true),
+        }
+    }
+
+    /// Stores a configuration whose version is higher by `steps`.
+    pub fn configure(&self, steps: u64) {
+        self.config_version.set(self.config_version.get() + steps);
+        let text =
+            configuration(self.config_version.get(), self.plan, &self.revocable_keys.borrow());
+        self.store.put(CONFIG_KEY, &text, 0);
+    }
+
+    /// A caller of a gateway whose requests no quota limits.
+    pub fn caller(&self, gateway: usize) -> Caller {
+        let caller = Caller::new(self.address(gateway));
+        if self.plan.needs_keys() { caller.key(UNLIMITED_KEY) } else { caller }
+    }
+
+    /// Address on which a gateway serves callers.
+    pub fn address(&self, gateway: usize) -> SocketAddr {
+        (self.gateways[gateway].ip, 8_144).into()
+    }
+
+    /// How often an attempt ran, at all backend servers.
+    pub fn runs(&self, attempt: &str) -> usize {
+        self.runners.iter().map(|(r, _)| r.runs(attempt)).sum()
+    }
+
+    /// Allows outdated server lists from now until the end of a fault and the settle time after it.
+    pub fn mark_stale(&self, duration: Duration) {
+        let until = Instant::now() + duration + SETTLE_TIME;
+        self.stale_until.set(until.max(self.stale_until.get()));
+    }
+
+    /// Is a backend server available for a request? Requests that crash servers can leave no server
+    /// of one kind for seconds, and no gateway knows an incarnation that started while the store
+    /// was away.
+    pub fn is_servable(&self, path: &str) -> bool {
+        let stage = (path == SUMMARY || path == ONCE_SUMMARY).then_some(Stage::Decode);
+        let up = |r: &Runner| r.is_up() && r.server.borrow().stage == stage;
+        self.crash_contents.get() == 0
+            || self.stale_until.get() < Instant::now() && self.runners.iter().any(|(r, _)| up(r))
+    }
+
+    async fn wait_ready(&self) {
+        for gateway in &self.gateways {
+            let caller = Caller::new((gateway.ip, 8_140).into());
+            let end = Instant::now() + RECOVERY_TIMEOUT;
+            while caller.get("/readiness").await.map_or(0, |a| a.status) != 200 {
+                assert!(Instant::now() < end, "seed {}: a gateway is not ready", self.plan.seed);
+                compio::time::sleep(Duration::from_millis(20)).await;
+            }
+        }
+    }
+
+    /// Checks that every gateway serves both kinds of request once the faults have ended.
+    async fn check_recovery(&self) {
+        let end = Instant::now() + RECOVERY_TIMEOUT;
+        for gateway in 0..self.gateways.len() {
+            for (n, path) in [CHECK, SUMMARY].into_iter().enumerate() {
+                let mut tries = 0;
+                loop {
+                    tries += 1;
+                    let caller = self.caller(gateway);
+                    let attempt = format!("back-{gateway}-{n}-{tries}");
+                    let result = match n {
+                        0 => caller.call(path, &attempt).await,
+                        _ => caller.summary(path, &attempt).await,
+                    };
+                    if result.as_ref().is_ok_and(|a| a.status == 200 && a.whole) {
+                        break;
+                    }
+                    let seed = self.plan.seed;
+                    let body = result.map(|a| String::from_utf8_lossy(&a.body).into_owned());
+                    assert!(
+                        Instant::now() < end,
+                        "seed {seed}: gateway {gateway} does not serve {path}: {body:?}"
+                    );
+                    compio::time::sleep(Duration::from_millis(100)).await;
+                }
+            }
+        }
+    }
+
+    /// Checks that without callers no reservation or run remains, and that the promises of all
+    /// answers were kept. A backend server behind a silent path can't notice that its caller
+    /// disconnected: it stops only at the deadline of the request.
+    async fn check_idle(&self) {
+        let end = Instant::now() + Duration::from_secs(15);
+        let remaining =
+            || self.runners.iter().map(|(r, _)| r.held() + r.running() as usize).sum::<usize>();
+        while remaining() > 0 {
+            assert!(
+                Instant::now() < end,
+                "seed {}: {} reservations and runs remain without callers",
+                self.plan.seed,
+                remaining()
+            );
+            compio::time::sleep(Duration::from_millis(20)).await;
+        }
+        self.expectations.borrow().check(self);
+    }
+
+    fn kill_gateways(&self) {
+        for gateway in &self.gateways {
+            gateway.kill();
+        }
+    }
+}
+
+impl Drop for Cluster {
+    /// Ends the gateway processes also when a run has failed.
+    fn drop(&mut self) {
+        self.kill_gateways();
+    }
+}
+
+impl Gateway {
+    fn start(ip: Ipv4Addr, store: Ipv4Addr) -> Gateway {
+        let file = std::env::temp_dir().join(format!("ebonyloft-soak-{ip}.toml"));
+        let text = format!(
+            "node_name = \"front-{ip}\"\nzone = \"a\"\nip_address = \"{ip}\"\nport_range = [7660, 7675]\n\
+             [listen]\nfront = \"{ip}:8144\"\nready = \"{ip}:8140\"\n\
+             [platform]\naddress = \"{store}:8142\"\n\
+             [bounds]\nstrict_revoke = true\nrevoke_ms = {}\n",
+            REVOKE_BOUND.as_millis()
+        );
+        std::fs::write(&file, text).expect("a settings file");
+        Gateway { ip, child: RefCell::new(spawn(&file)), file }
+    }
+
+    /// Sends a signal to the process.
+    pub fn signal(&self, signal: Signal) {
+        let pid = Pid::from_child(&self.child.borrow());
+        // Fails if the process has just ended.
+        let _ = kill_process(pid, signal);
+    }
+
+    /// Starts the process again if it has ended.
+    pub fn restart_if_ended(&self) {
+        let mut child = self.child.borrow_mut();
+        if child.try_wait().is_ok_and(|ended| ended.is_some()) {
+            *child = spawn(&self.file);
+        }
+    }
+
+    fn kill(&self) {
+        self.signal(Signal::KILL);
+        let _ = self.child.borrow_mut().wait();
+        let _ = std::fs::remove_file(&self.file);
+    }
+}
+
+fn spawn(file: &PathBuf) -> Child {
+    Command::new(env!("CARGO_BIN_EXE_ebonyloftd"))
+        .arg("gateway")
+        .arg("--file")
+        .arg(file)
+        .args(["--log", "warn"])
+        .stdout(Stdio::null())
+        .spawn()
+        .expect("a gateway process")
+}
+
+/// Starts a relay that listens at `front` and forwards to `target`.
+async fn start_relay(front: SocketAddr, target: SocketAddr) -> RelaySwitch {
+    let listener = TcpListener::bind(front).await.expect("a free address");
+    let switch = RelaySwitch::default();
+    compio::runtime::spawn(relay::serve(listener, target, switch.clone())).detach();
+    switch
+}
+
+/// Faults of the store that fault kind 4 draws from.
+pub const STORE_FAULTS: [store::Fault; 3] =
+    [store::Fault::Busy, store::Fault::Silent, store::Fault::Lost];
+/// Faults of backend servers that fault kinds 8 and 9 draw from.
+pub const RUNNER_FAULTS: [runner::Fault; 6] = [
+    runner::Fault::Errors,
+    runner::Fault::Hangs,
+    runner::Fault::Loses,
+    runner::Fault::Sheds,
+    runner::Fault::Changes,
+    runner::Fault::Breaks,
+];
--- a/crates/daemon/tests/soak/faults.rs
+++ b/crates/daemon/tests/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Faults drawn from the seed: several overlap, and each ends by itself.
+//! Injects random faults drawn from the seed. Several overlap, and each ends by itself.
 
 use std::rc::Rc;
 use std::sync::atomic::Ordering;
@@ -13,10 +13,12 @@
 use rand_chacha::ChaCha8Rng;
 use rustix::process::Signal;
 
-use crate::world::{BOUNDED_KEY, CALL_TOKENS, QUOTA, REVOKE, RUNNER_FAULTS, STORE_FAULTS, World};
+use crate::cluster::{
+    Cluster, QUOTA, QUOTA_KEY, REVOKE_BOUND, RUNNER_FAULTS, STORE_FAULTS, TOKENS_PER_CALL,
+};
 
-/// Entries that name no backend server.
-const WRONG_ENTRIES: [&[u8]; 4] = [
+/// Invalid values of a server registration in the store.
+const INVALID_REGISTRATIONS: [&[u8]; 4] = [
     b"",
     b"\xff\x00",
     b"{\"service\":\"gate\"}",
@@ -24,300 +26,310 @@
         "state":"ready","sequence":1,"cold_remaining_ms":0}"#,
 ];
 
-/// Within which a leaving server must be sent nothing more; the default of the settings.
-const BOUND: Duration = Duration::from_secs(2);
+/// Time after a server began to leave by which it must get no more requests; the default setting.
+const LEAVING_BOUND: Duration = Duration::from_secs(2);
 
-/// Within which every gateway must know that a content is proved; the default of the settings.
-const CONTACT: Duration = Duration::from_secs(3);
-/// Span in which requests to a server that names a limit are counted.
+/// Time by which every gateway must know of a confirmed crashing request or of a rate limit; the
+/// default setting `contact_ms`.
+const CONTACT_BOUND: Duration = Duration::from_secs(3);
+/// Window in which the requests to a server with a rate limit are counted.
 const LIMIT_WINDOW: Duration = Duration::from_secs(4);
-/// Part of the limit that may arrive in it.
-const LIMIT_PART: f64 = 1.5;
-/// Requests beside that.
+/// Requests that may arrive in the window, as a multiple of the limit.
+const LIMIT_FACTOR: f64 = 1.5;
+/// Requests that may arrive in addition.
 const LIMIT_SLACK: f64 = 5.0;
-/// How long an account asks for too much.
-const FLOOD: Duration = Duration::from_secs(3);
-/// How often a content under which servers end is sent: for six seconds.
-const REPEATS: usize = 50;
+/// How long an account exceeds its quota.
+const FLOOD_TIME: Duration = Duration::from_secs(3);
+/// How often a request that crashes servers is sent, every 120 ms: for six seconds.
+const CRASH_REQUESTS: usize = 50;
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-/// Injects faults for as long as the plan says, and waits until all of them have ended.
-pub async fn faults(world: &Rc<World>) {
-    let mut rng = ChaCha8Rng::seed_from_u64(world.plan.seed);
-    let end = Instant::now() + world.plan.faults;
+/// Injects faults for the time of the plan, and waits until all of them have ended.
+pub async fn inject_faults(cluster: &Rc<Cluster>) {
+    let mut rng = ChaCha8Rng::seed_from_u64(cluster.plan.seed);
+    let end = Instant::now() + cluster.plan.faults;
     let mut tasks = Vec::new();
     while Instant::now() < end {
         compio::time::sleep(ms(rng.random_range(50..500))).await;
-        let (world, seed) = (world.clone(), rng.random());
-        tasks.push(compio::runtime::spawn(async move { one(&world, seed).await }));
+        let (cluster, seed) = (cluster.clone(), rng.random());
+        tasks.push(compio::runtime::spawn(async move { inject_fault(&cluster, seed).await }));
     }
     for task in tasks {
         task.await.expect("a fault's task");
     }
-    for gateway in &world.gateways {
+    for gateway in &cluster.gateways {
         gateway.signal(Signal::CONT);
-        gateway.revive();
+        gateway.restart_if_ended();
     }
 }
 
-async fn one(world: &World, seed: u64) {
+async fn inject_fault(cluster: &Cluster, seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let lasts = ms(rng.random_range(100..2_500));
-    let gateway = &world.gateways[rng.random_range(0..world.gateways.len())];
-    let (runner, relay) = &world.runners[rng.random_range(0..world.runners.len())];
-    let kinds = world.plan.kinds;
+    let duration = ms(rng.random_range(100..2_500));
+    let gateway = &cluster.gateways[rng.random_range(0..cluster.gateways.len())];
+    let (runner, relay) = &cluster.runners[rng.random_range(0..cluster.runners.len())];
+    let kinds = cluster.plan.kinds;
     match kinds[rng.random_range(0..kinds.len() as u32) as usize] {
         0 => {
             gateway.signal(Signal::KILL);
-            compio::time::sleep(lasts / 3).await;
-            gateway.revive();
+            compio::time::sleep(duration / 3).await;
+            gateway.restart_if_ended();
         }
         1 => {
             gateway.signal(Signal::TERM);
             compio::time::sleep(ms(8_500)).await;
-            gateway.revive();
+            gateway.restart_if_ended();
         }
         2 => {
-            world.unsure(lasts);
+            cluster.mark_stale(duration);
             gateway.signal(Signal::STOP);
-            compio::time::sleep(lasts).await;
+            compio::time::sleep(duration).await;
             gateway.signal(Signal::CONT);
         }
         3 => gateway.signal(Signal::HUP),
         4 => {
-            world.unsure(lasts);
-            world.store.set_fault(STORE_FAULTS[rng.random_range(0..STORE_FAULTS.len())]);
-            compio::time::sleep(lasts).await;
-            world.store.set_fault(store::Fault::None);
+            cluster.mark_stale(duration);
+            cluster.store.set_fault(STORE_FAULTS[rng.random_range(0..STORE_FAULTS.len())]);
+            compio::time::sleep(duration).await;
+            cluster.store.set_fault(store::Fault::None);
         }
         5 => {
-            world.unsure(lasts);
-            cut(&world.store_relay, &mut rng, lasts).await;
+            cluster.mark_stale(duration);
+            disturb_path(&cluster.store_relay, &mut rng, duration).await;
         }
-        6 | 7 => cut(relay, &mut rng, lasts).await,
+        6 | 7 => disturb_path(relay, &mut rng, duration).await,
         8 | 9 => {
             runner.set_fault(RUNNER_FAULTS[rng.random_range(0..RUNNER_FAULTS.len())]);
-            compio::time::sleep(lasts).await;
+            compio::time::sleep(duration).await;
             runner.set_fault(runner::Fault::None);
         }
         10 => {
-            world.configure(rng.random_range(1..4));
+            cluster.configure(rng.random_range(1..4));
             if rng.random() {
-                world.store.compact();
+                cluster.store.compact();
             }
         }
         11 => {
-            // It starts again under its name, and knows nothing of before.
+            // A new incarnation starts under the same name, without the state of the old one.
             runner.set_fault(runner::Fault::Breaks);
-            compio::time::sleep(lasts / 10).await;
+            compio::time::sleep(duration / 10).await;
             runner.restart();
             runner.set_fault(runner::Fault::None);
-            world.store.register(&runner.server.borrow());
+            cluster.store.register(&runner.server.borrow());
         }
-        13 => leave(world, runner).await,
-        14 => end_servers(world, &format!("{seed:x}"), rng.random()).await,
-        15 => say_leaving(world, runner).await,
+        13 => check_drain_in_store(cluster, runner).await,
+        14 => check_crashing_request(cluster, &format!("{seed:x}"), rng.random()).await,
+        15 => check_announced_drain(cluster, runner).await,
         16 => {
-            runner.want_nothing(Some(&format!("{:.2}", lasts.as_secs_f64())));
-            compio::time::sleep(lasts).await;
+            runner.want_nothing(Some(&format!("{:.2}", duration.as_secs_f64())));
+            compio::time::sleep(duration).await;
             runner.want_nothing(None);
         }
-        18 => take_key(world, &format!("{seed:x}")).await,
-        19 => flood(world, &format!("{seed:x}")).await,
-        17 => name_limit(world, runner, rng.random_range(2..9)).await,
+        18 => check_key_revocation(cluster, &format!("{seed:x}")).await,
+        19 => check_quota(cluster, &format!("{seed:x}")).await,
+        17 => check_rate_limit(cluster, runner, rng.random_range(2..9)).await,
         _ => {
             let name = runner.server.borrow().id.name.clone();
-            let wrong = WRONG_ENTRIES[rng.random_range(0..WRONG_ENTRIES.len())];
-            world.store.put(&format!("servers/{name}"), wrong, 0);
-            world.store.put("servers/i-nobody", wrong, 0);
-            compio::time::sleep(lasts).await;
-            world.store.register(&runner.server.borrow());
+            let value = INVALID_REGISTRATIONS[rng.random_range(0..INVALID_REGISTRATIONS.len())];
+            cluster.store.put(&format!("servers/{name}"), value, 0);
+            cluster.store.put("servers/i-nobody", value, 0);
+            compio::time::sleep(duration).await;
+            cluster.store.register(&runner.server.borrow());
         }
     }
 }
 
-/// The store falls silent to each second gateway; a backend server leaves and is sent nothing more once the
-/// bound is over, by anybody; later it is back.
-async fn leave(world: &World, runner: &Runner) {
-    // One at a time: the end of another one would register it anew within the time that is looked at.
+/// Every second gateway is cut off from the store, and a backend server begins to leave. After the
+/// bound it must get no more requests from any gateway. Later it returns.
+async fn check_drain_in_store(cluster: &Cluster, runner: &Runner) {
+    // One at a time per server: the end of another fault would register it as ready during this
+    // check.
     if std::mem::replace(&mut runner.server.borrow_mut().draining, true) {
         return;
     }
-    let mute = [&world.half_relay.mute_forward, &world.half_relay.mute_back];
-    mute.iter().for_each(|switch| switch.store(true, Ordering::Relaxed));
+    let mute_switches = [&cluster.second_relay.mute_forward, &cluster.second_relay.mute_back];
+    mute_switches.iter().for_each(|switch| switch.store(true, Ordering::Relaxed));
     compio::time::sleep(ms(500)).await;
-    world.store.register(&runner.server.borrow());
-    let left = Instant::now();
-    compio::time::sleep(BOUND + ms(300)).await;
-    let before = arrived(runner);
+    cluster.store.register(&runner.server.borrow());
+    let leaving_at = Instant::now();
+    compio::time::sleep(LEAVING_BOUND + ms(300)).await;
+    let before = arrival_count(runner);
     compio::time::sleep(ms(1_500)).await;
-    if world.unsure_until.get() < left {
-        let (seed, more) = (world.plan.seed, arrived(runner) - before);
-        assert_eq!(more, 0, "seed {seed}: sent to a backend server that left");
-        world.left.set(world.left.get() + 1);
+    if cluster.stale_until.get() < leaving_at {
+        let (seed, late) = (cluster.plan.seed, arrival_count(runner) - before);
+        assert_eq!(late, 0, "seed {seed}: requests to a backend server that left");
+        cluster.drains_checked.set(cluster.drains_checked.get() + 1);
     }
-    mute.iter().for_each(|switch| switch.store(false, Ordering::Relaxed));
+    mute_switches.iter().for_each(|switch| switch.store(false, Ordering::Relaxed));
     runner.server.borrow_mut().draining = false;
-    world.store.register(&runner.server.borrow());
+    cluster.store.register(&runner.server.borrow());
 }
 
-fn arrived(runner: &Runner) -> u64 {
+fn arrival_count(runner: &Runner) -> u64 {
     let seen = runner.seen.borrow();
     seen.reads + seen.arrivals.values().sum::<usize>() as u64
 }
 
-/// A content under which servers end is sent through all gateways in turn; once three have ended it reaches
-/// no others.
-async fn end_servers(world: &World, name: &str, summary: bool) {
-    world.ended.set(world.ended.get() + 1);
+/// A request that crashes servers is sent through all gateways in turn. Once it crashed three
+/// servers and the bound has passed, it may reach servers three times more at most.
+async fn check_crashing_request(cluster: &Cluster, name: &str, summary: bool) {
+    cluster.crash_contents.set(cluster.crash_contents.get() + 1);
     let path = if summary { SUMMARY } else { LOOKUP };
     let body = format!("{ENDS}{name}");
-    for n in 0..REPEATS {
-        let caller = Caller::new(world.address(n % world.gateways.len()));
+    for n in 0..CRASH_REQUESTS {
+        let caller = Caller::new(cluster.address(n % cluster.gateways.len()));
         let (attempt, body) = (format!("ends-{name}-{n}"), body.clone());
         compio::runtime::spawn(async move {
-            // Nobody waits for an answer; the process may be down.
+            // The answer does not matter; the gateway process may be down.
             let _ = caller.with_body(path, &attempt, body).await;
         })
         .detach();
         compio::time::sleep(ms(120)).await;
     }
-    let of = |rows: &[(String, Instant)]| -> Vec<Instant> {
+    let times_of = |rows: &[(String, Instant)]| -> Vec<Instant> {
         rows.iter().filter(|(n, _)| n == name).map(|(_, at)| *at).collect()
     };
-    let seen = world.runners.iter().map(|(r, _)| r.seen.borrow());
-    let (mut ended, mut reached) = (Vec::new(), Vec::new());
+    let seen = cluster.runners.iter().map(|(r, _)| r.seen.borrow());
+    let (mut crashes, mut arrivals) = (Vec::new(), Vec::new());
     for seen in seen {
-        ended.extend(of(&seen.ended));
-        reached.extend(of(&seen.marked));
+        crashes.extend(times_of(&seen.ended));
+        arrivals.extend(times_of(&seen.marked));
     }
-    ended.sort();
-    let bound = ended.get(2).map(|third| *third + CONTACT);
-    let late = bound.map_or(0, |bound| reached.iter().filter(|at| **at > bound).count());
-    let seed = world.plan.seed;
-    assert!(late <= 3, "seed {seed}: {name} ended {} servers, sent {late} times late", ended.len());
+    crashes.sort();
+    let bound = crashes.get(2).map(|third| *third + CONTACT_BOUND);
+    let late = bound.map_or(0, |bound| arrivals.iter().filter(|at| **at > bound).count());
+    let seed = cluster.plan.seed;
+    assert!(
+        late <= 3,
+        "seed {seed}: {name} crashed {} servers, sent {late} times late",
+        crashes.len()
+    );
 }
 
-/// A server says with all answers that it leaves, and the store tells nobody; it is sent nothing more once
-/// everybody who was told has had the bound's time.
-async fn say_leaving(world: &World, runner: &Rc<Runner>) {
-    let lives = runner.server.borrow().id.clone();
+/// A server announces in all its answers that it leaves, while its registration stays unchanged.
+/// After the bound it must get no more requests.
+async fn check_announced_drain(cluster: &Cluster, runner: &Rc<Runner>) {
+    let id = runner.server.borrow().id.clone();
     runner.say_leaving();
     compio::time::sleep(ms(500)).await;
-    let told = Instant::now();
-    compio::time::sleep(BOUND).await;
-    let before = arrived(runner);
+    let announced_at = Instant::now();
+    compio::time::sleep(LEAVING_BOUND).await;
+    let before = arrival_count(runner);
     compio::time::sleep(ms(1_500)).await;
-    let same = runner.server.borrow().id == lives;
-    // Nobody is told by a server that nobody asked.
-    let heard = runner.seen.borrow().taken.iter().any(|at| *at < told);
-    if same && heard && world.unsure_until.get() < told {
-        let (seed, more) = (world.plan.seed, arrived(runner) - before);
-        assert_eq!(more, 0, "seed {seed}: sent to a server that had said that it leaves");
-        world.left.set(world.left.get() + 1);
+    let same_incarnation = runner.server.borrow().id == id;
+    // Gateways learn of it only from an answer, so it must have got a request.
+    let was_announced = runner.seen.borrow().taken.iter().any(|at| *at < announced_at);
+    if same_incarnation && was_announced && cluster.stale_until.get() < announced_at {
+        let (seed, late) = (cluster.plan.seed, arrival_count(runner) - before);
+        assert_eq!(late, 0, "seed {seed}: requests to a server that had announced that it leaves");
+        cluster.drains_checked.set(cluster.drains_checked.get() + 1);
     }
     runner.stay();
-    if same {
+    if same_incarnation {
         runner.crash("the end of a life");
     }
 }
 
-/// A server names a limit in all its answers; from the time on by which everybody who was told keeps it, no
-/// more reaches it than the rule allows.
-async fn name_limit(world: &World, runner: &Rc<Runner>, limit: u32) {
-    let life = runner.server.borrow().id.clone();
-    // One at a time: the end of another one would end this one's word too.
-    if !world.limited.borrow_mut().insert(life.name.clone()) {
+/// A server announces a rate limit in all its answers. After the bound, by which the gateways must
+/// keep it, no more requests reach it than the limit allows.
+async fn check_rate_limit(cluster: &Cluster, runner: &Rc<Runner>, limit: u32) {
+    let id = runner.server.borrow().id.clone();
+    // One at a time per server: the end of another check would end the announcement of this one.
+    if !cluster.limited_servers.borrow_mut().insert(id.name.clone()) {
         return;
     }
     runner.name_limit(Some(&limit.to_string()));
-    compio::time::sleep(CONTACT).await;
+    compio::time::sleep(CONTACT_BOUND).await;
     let since = Instant::now();
     compio::time::sleep(LIMIT_WINDOW * 2).await;
-    let taken: Vec<Instant> =
+    let arrivals: Vec<Instant> =
         runner.seen.borrow().taken.iter().copied().filter(|at| *at >= since).collect();
-    let within = |from: Instant| {
-        taken.iter().filter(|at| **at >= from && **at < from + LIMIT_WINDOW).count()
+    let count_from = |from: Instant| {
+        arrivals.iter().filter(|at| **at >= from && **at < from + LIMIT_WINDOW).count()
     };
-    let most = taken.iter().map(|at| within(*at)).max().unwrap_or(0);
-    let allowed = LIMIT_PART * f64::from(limit) * LIMIT_WINDOW.as_secs_f64() + LIMIT_SLACK;
-    let seed = world.plan.seed;
-    if runner.server.borrow().id == life {
+    let most = arrivals.iter().map(|at| count_from(*at)).max().unwrap_or(0);
+    let allowed = LIMIT_FACTOR * f64::from(limit) * LIMIT_WINDOW.as_secs_f64() + LIMIT_SLACK;
+    let seed = cluster.plan.seed;
+    if runner.server.borrow().id == id {
         assert!(
             most as f64 <= allowed,
-            "seed {seed}: a server that names {limit} a second got {most} in 4 s, allowed {allowed}"
+            "seed {seed}: a server that announces {limit} a second got {most} in 4 s, allowed {allowed}"
+        );
+        println!(
+            "seed {seed}: {id} announced {limit} a second, got {most} in 4 s, allowed {allowed}"
         );
-        println!("seed {seed}: {life} named {limit}, got {most} in 4 s, allowed {allowed}");
     }
     runner.name_limit(None);
-    world.limited.borrow_mut().remove(&life.name);
+    cluster.limited_servers.borrow_mut().remove(&id.name);
 }
 
-/// A key is given, used through all gateways and taken away; what is sent with it behind the bound runs nowhere.
-async fn take_key(world: &World, key: &str) {
-    world.keys.borrow_mut().insert(key.to_owned());
-    world.configure(1);
+/// A key is added, used through all gateways and revoked. Requests with it that are sent after the
+/// bound must not run at any server.
+async fn check_key_revocation(cluster: &Cluster, key: &str) {
+    cluster.revocable_keys.borrow_mut().insert(key.to_owned());
+    cluster.configure(1);
     compio::time::sleep(ms(700)).await;
-    world.keys.borrow_mut().remove(key);
-    world.configure(1);
-    let taken = Instant::now();
+    cluster.revocable_keys.borrow_mut().remove(key);
+    cluster.configure(1);
+    let revoked_at = Instant::now();
     let (mut late, mut n) = (Vec::new(), 0);
-    while taken.elapsed() < REVOKE * 2 {
+    while revoked_at.elapsed() < REVOKE_BOUND * 2 {
         n += 1;
-        let caller = Caller::new(world.address(n % world.gateways.len())).key(key);
+        let caller = Caller::new(cluster.address(n % cluster.gateways.len())).key(key);
         let attempt = format!("key-{key}-{n}");
-        if taken.elapsed() > REVOKE {
+        if revoked_at.elapsed() > REVOKE_BOUND {
             late.push(attempt.clone());
         }
         compio::runtime::spawn(async move {
-            // Whatever it is told: what runs counts.
+            // The answer does not matter; the check counts what ran.
             let _ = caller.call(CHECK, &attempt).await;
         })
         .detach();
         compio::time::sleep(ms(25)).await;
     }
     compio::time::sleep(ms(1_500)).await;
-    let ran = late.iter().filter(|attempt| world.runs(attempt) > 0).count();
-    let seed = world.plan.seed;
-    assert_eq!(ran, 0, "seed {seed}: {ran} of {} ran with a key that was taken away", late.len());
-    world.kept.set(world.kept.get() + 1);
+    let ran = late.iter().filter(|attempt| cluster.runs(attempt) > 0).count();
+    let seed = cluster.plan.seed;
+    assert_eq!(ran, 0, "seed {seed}: {ran} of {} ran with a revoked key", late.len());
+    cluster.account_checks.set(cluster.account_checks.get() + 1);
 }
 
-/// An account asks for five times its quota through all gateways; it gets no more than the quota.
-async fn flood(world: &World, name: &str) {
-    if world.flooded.replace(true) {
+/// An account sends five times its quota through all gateways; no more than the quota may run.
+async fn check_quota(cluster: &Cluster, name: &str) {
+    if cluster.flooding.replace(true) {
         return;
     }
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut attempts = Vec::new();
-    while begun.elapsed() < FLOOD {
+    while started_at.elapsed() < FLOOD_TIME {
         let n = attempts.len();
-        let caller = Caller::new(world.address(n % world.gateways.len())).key(BOUNDED_KEY);
+        let caller = Caller::new(cluster.address(n % cluster.gateways.len())).key(QUOTA_KEY);
         let attempt = format!("flood-{name}-{n}");
         attempts.push(attempt.clone());
         compio::runtime::spawn(async move {
-            // Whatever it is told: what runs counts.
+            // The answer does not matter; the check counts what ran.
             let _ = caller.call(CHECK, &attempt).await;
         })
         .detach();
         compio::time::sleep(ms(10)).await;
     }
     compio::time::sleep(ms(1_500)).await;
-    let lent = QUOTA.0 as f64 * begun.elapsed().as_secs_f64() + QUOTA.1 as f64;
-    let allowed = (lent / CALL_TOKENS as f64) as usize;
-    let ran = attempts.iter().filter(|attempt| world.runs(attempt) > 0).count();
-    let seed = world.plan.seed;
+    let granted = QUOTA.0 as f64 * started_at.elapsed().as_secs_f64() + QUOTA.1 as f64;
+    let allowed = (granted / TOKENS_PER_CALL as f64) as usize;
+    let ran = attempts.iter().filter(|attempt| cluster.runs(attempt) > 0).count();
+    let seed = cluster.plan.seed;
     assert!(ran <= allowed, "seed {seed}: {ran} calls of an account, allowed {allowed}");
     println!("seed {seed}: {ran} of {} calls of an account, allowed {allowed}", attempts.len());
-    world.kept.set(world.kept.get() + 1);
-    world.flooded.set(false);
+    cluster.account_checks.set(cluster.account_checks.get() + 1);
+    cluster.flooding.set(false);
 }
 
-/// A path that is late, reset, closed to new connections, or silent in one direction or both.
-async fn cut(relay: &RelaySwitch, rng: &mut ChaCha8Rng, lasts: Duration) {
+/// Makes a network path delayed, reset, closed to new connections, or silent in one or both
+/// directions.
+async fn disturb_path(relay: &RelaySwitch, rng: &mut ChaCha8Rng, duration: Duration) {
     let switches = match rng.random_range(0..6) {
         0 => vec![&relay.mute_forward],
         1 => vec![&relay.mute_back],
@@ -332,7 +344,7 @@
     for switch in &switches {
         switch.store(true, Ordering::Relaxed);
     }
-    compio::time::sleep(lasts).await;
+    compio::time::sleep(duration).await;
     for switch in &switches {
         switch.store(false, Ordering::Relaxed);
     }
--- a/crates/daemon/tests/uploads.rs
+++ b/crates/daemon/tests/uploads.rs
@@ -1,4 +1,4 @@
-//! How many configurations may be on their way at a time.
+//! Limit of concurrent uploads of configurations, by the bandwidth of the network link.
 
 use std::time::Duration;
 
@@ -9,16 +9,16 @@
 const NOW: Timestamp = Timestamp::from_millis(100_000);
 
 #[test]
-fn a_link_carries_as_many_as_it_has_times_ten_megabits() {
-    for (link, most) in [(10, 1), (5, 1), (25, 2), (200, 20), (0, 4)] {
+fn a_link_carries_one_upload_per_ten_megabits() {
+    for (link_mbps, expected) in [(10, 1), (5, 1), (25, 2), (200, 20), (0, 4)] {
         let uploads = Uploads::default();
-        let open: Vec<_> = (0..100).map_while(|_| uploads.begin(NOW, link)).collect();
-        assert_eq!(open.len(), most, "{link} Mbit/s");
+        let open: Vec<_> = (0..100).map_while(|_| uploads.begin(NOW, link_mbps)).collect();
+        assert_eq!(open.len(), expected, "{link_mbps} Mbit/s");
     }
 }
 
 #[test]
-fn one_that_has_ended_makes_room() {
+fn a_finished_upload_makes_room() {
     let uploads = Uploads::default();
     let first = uploads.begin(NOW, 10);
     assert!(first.is_some() && uploads.begin(NOW, 10).is_none());
@@ -26,9 +26,9 @@
     assert!(uploads.begin(NOW, 10).is_some());
 }
 
-/// Its connection went silent and never ends: others are served all the same.
+/// An upload whose connection stalls without an error is counted only for `BODY_WAIT`.
 #[test]
-fn one_that_stalls_does_not_count_for_ever() {
+fn a_stalled_upload_stops_counting() {
     let uploads = Uploads::default();
     let _stalled = uploads.begin(NOW, 10).expect("the first");
     let last = NOW.after(BODY_WAIT).before(Duration::from_millis(1));
