--- a/crates/daemon/tests/uploads.rs
+++ b/crates/daemon/tests/uploads.rs
@@ -1,4 +1,4 @@
-//! The limit on concurrent uploads of the configuration.
+//! Limit of concurrent uploads of configurations, by the bandwidth of the network link.
 
 use std::time::Duration;
 
@@ -10,15 +10,15 @@
 
 #[test]
 fn a_link_carries_one_upload_per_ten_megabits() {
-    for (link_mbits, max_open) in [(10, 1), (5, 1), (25, 2), (200, 20), (0, 4)] {
+    for (link_mbps, expected) in [(10, 1), (5, 1), (25, 2), (200, 20), (0, 4)] {
         let uploads = Uploads::default();
-        let open: Vec<_> = (0..100).map_while(|_| uploads.begin(NOW, link_mbits)).collect();
-        assert_eq!(open.len(), max_open, "{link_mbits} Mbit/s");
+        let open: Vec<_> = (0..100).map_while(|_| uploads.begin(NOW, link_mbps)).collect();
+        assert_eq!(open.len(), expected, "{link_mbps} Mbit/s");
     }
 }
 
 #[test]
-fn an_ended_upload_frees_its_slot() {
+fn a_finished_upload_makes_room() {
     let uploads = Uploads::default();
     let first = uploads.begin(NOW, 10);
     assert!(first.is_some() && uploads.begin(NOW, 10).is_none());
@@ -26,7 +26,7 @@
     assert!(uploads.begin(NOW, 10).is_some());
 }
 
-/// An upload whose connection went silent and never ends must not block others for ever.
+/// An upload whose connection stalls without an error is counted only for `BODY_WAIT`.
 #[test]
 fn a_stalled_upload_stops_counting() {
     let uploads = Uploads::default();
