--- a/crates/daemon/src/gateway/announcements.rs
+++ b/crates/daemon/src/gateway/announcements.rs
@@ -106,7 +106,7 @@
     }
     let sent = shared.now();
     let (headers, status, body) = shared.pool.call_with_headers(to.addr, req, limit).await?;
-    let reply = headers::reply(status, &headers);
+    let reply = headers::parse_reply(status, &headers);
     if !reply.moved {
         quarantine::on_alive(shared, &to.id, sent);
     }
--- a/crates/daemon/src/gateway/ingress.rs
+++ b/crates/daemon/src/gateway/ingress.rs
@@ -122,13 +122,13 @@
     req: Request<Incoming>,
     came_at: Timestamp,
 ) -> Result<Intake, Response<Body>> {
-    let caller = headers::caller(req.headers());
+    let caller = headers::parse_caller(req.headers());
     let refuse = |cause: Cause| {
         let id = caller.attempt.as_deref().unwrap_or("-");
         shared.metrics.count("gateway.refused.unread", 1);
         let away = shared.store_state.borrow().is_away();
         let is_transient = matches!(cause, Cause::NotReady | Cause::Unconfirmed);
-        let time_left = caller.patience.filter(|_| is_transient);
+        let time_left = caller.time_left.filter(|_| is_transient);
         let retry_after = retry_after::wait(time_left, away, shared.random_fraction());
         let SnapshotVersion { config, roster, age } = shared.snapshot_version();
         let ms = retry_after.as_millis() as u64;
@@ -189,7 +189,7 @@
     shared: &Shared,
     config: &Config,
     route: usize,
-    caller: &headers::Caller,
+    caller: &headers::CallerHeaders,
 ) -> Result<(Option<Account>, u64), Cause> {
     let account =
         keys::identify(shared, config, &config.routes[route], caller).inspect_err(|cause| {
@@ -244,9 +244,9 @@
     shared: &Shared,
     came_at: Timestamp,
     route: &Route,
-    caller: &headers::Caller,
+    caller: &headers::CallerHeaders,
 ) -> TimeBounds {
-    let caller_timeout = caller.patience.unwrap_or(route.timeout);
+    let caller_timeout = caller.time_left.unwrap_or(route.timeout);
     let mut deadlines = shared.caller_deadlines.borrow_mut();
     let spent = deadlines.time_spent(came_at, &route.name, route.timeout, caller_timeout);
     TimeBounds {
@@ -261,14 +261,14 @@
     target: Target,
     parts: hyper::http::request::Parts,
     body: Bytes,
-    caller: headers::Caller,
+    caller: headers::CallerHeaders,
     content: RequestDigest,
 ) -> Intake {
     let TimeBounds { came_at, ends_at, goal_at } = times;
     let Target { config, route, service } = target;
-    let mut headers = headers::forwarded(&parts.headers);
+    let mut headers = headers::forwarded_to_server(&parts.headers);
     if config.accounts.is_some() {
-        headers::drop_key(&mut headers);
+        headers::remove_api_key(&mut headers);
     }
     Intake {
         method: parts.method,
--- a/crates/daemon/src/gateway/intake.rs
+++ b/crates/daemon/src/gateway/intake.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use ebonyloft_core::ids::Account;
 use ebonyloft_core::time::Timestamp;
-use ebonyloft_platform::headers::{self, Caller};
+use ebonyloft_platform::headers::{self, CallerHeaders};
 use ebonyloft_router::budget::Arrivals;
 use ebonyloft_router::catalog::{Config, Kind, Route, ServerId};
 use ebonyloft_router::request_digest::RequestDigest;
@@ -27,7 +27,7 @@
     /// The caller's headers that are forwarded.
     pub headers: HeaderMap,
     /// What the caller's own headers say about the request.
-    pub caller: Caller,
+    pub caller: CallerHeaders,
     /// Keyed digest of the request.
     pub content: RequestDigest,
     /// The complete body.
@@ -82,11 +82,11 @@
         *req.uri_mut() = self.uri.clone();
         *req.headers_mut() = self.headers.clone();
         let headers = req.headers_mut();
-        headers::set_expected(headers, to);
+        headers::set_expected_instance(headers, to);
         if let Some(account) = &self.account {
             headers::set_account(headers, account);
         }
-        headers::set_patience(headers, self.ends_at.before(RETURN_MARGIN).since(now));
+        headers::set_deadline(headers, self.ends_at.before(RETURN_MARGIN).since(now));
         req
     }
 }
--- a/crates/daemon/src/gateway/keys.rs
+++ b/crates/daemon/src/gateway/keys.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use ebonyloft_core::ids::Account as AccountName;
-use ebonyloft_platform::headers::Caller;
+use ebonyloft_platform::headers::CallerHeaders;
 use ebonyloft_router::accounts::{self, Account, Credential, Identity};
 use ebonyloft_router::catalog::{Config, Route};
 use ebonyloft_router::load_report::GossipMessage;
@@ -31,7 +31,7 @@
     shared: &Shared,
     config: &'a Config,
     route: &Route,
-    caller: &Caller,
+    caller: &CallerHeaders,
 ) -> Result<Option<&'a Account>, Cause> {
     let accounts = config.accounts.as_ref();
     match accounts::identify(accounts, route.public, &caller.credential) {
--- a/crates/daemon/src/gateway/orders.rs
+++ b/crates/daemon/src/gateway/orders.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ebonyloft_platform::engine::{self, Ordered};
+use ebonyloft_platform::engine::{self, OrderReply};
 use ebonyloft_platform::store::{StoreError, Write};
 use ebonyloft_router::catalog::{Server, ServerId, Stage};
 use ebonyloft_router::leadership::{self, LeaderRecord, Leadership, Order};
@@ -118,7 +118,7 @@
             renew_at = now.after(leadership::RENEW);
             match shared.store.renew(leadership.lease).await {
                 Ok(_) => leadership.renewed(now),
-                Err(StoreError::Missing) => {
+                Err(StoreError::NotFound) => {
                     return tracing::info!(fence = leadership.fence, "leadership lease expired");
                 }
                 Err(e) => {
@@ -207,7 +207,7 @@
 }
 
 async fn send(shared: &Shared, order: Order, server: Server, planner: &mut Planner) {
-    let req = engine::order(&order);
+    let req = engine::change_stage(&order);
     if !limits::acquire(shared, &server.id, 1).await {
         planner.refused(&order.to);
         return;
@@ -216,11 +216,11 @@
     let (to, stage): (&ServerId, Stage) = (&order.to, order.stage);
     match reply {
         Ok((status, _)) => {
-            let result = engine::read_order(status);
+            let result = engine::parse_order_reply(status);
             tracing::info!(
                 server = %to, ?stage, fence = order.fence, word = ?result, "order answered"
             );
-            if matches!(result, Ordered::Busy | Ordered::Failed(_) | Ordered::Moved) {
+            if matches!(result, OrderReply::Busy | OrderReply::Failed(_) | OrderReply::Moved) {
                 planner.refused(to);
             }
         }
--- a/crates/daemon/src/gateway/quarantine.rs
+++ b/crates/daemon/src/gateway/quarantine.rs
@@ -365,7 +365,7 @@
     }
     let sent = shared.now();
     let result =
-        timeout(LIVENESS_TIMEOUT, shared.pool.check_address(addr, engine::report(&id))).await;
+        timeout(LIVENESS_TIMEOUT, shared.pool.check_address(addr, engine::probe(&id))).await;
     let found = match result {
         Ok(Reachability::Answered(StatusCode::MISDIRECTED_REQUEST)) => ProbeResult::Other,
         Ok(Reachability::Answered(_)) => ProbeResult::Alive,
--- a/crates/daemon/src/gateway/registration.rs
+++ b/crates/daemon/src/gateway/registration.rs
@@ -88,7 +88,7 @@
             Ok(id) => lease = Some(id),
             Err(e) => {
                 tracing::debug!(error = %e, "can't renew registration");
-                if matches!(e, StoreError::Missing) {
+                if matches!(e, StoreError::NotFound) {
                     lease = None;
                     continue;
                 }
--- a/crates/daemon/src/gateway/send.rs
+++ b/crates/daemon/src/gateway/send.rs
@@ -94,7 +94,7 @@
             return Err(exchange_outcome(e));
         }
     };
-    let reply = headers::reply(response.status(), response.headers());
+    let reply = headers::parse_reply(response.status(), response.headers());
     if reply.not_run {
         intake.maybe_ran.set(ran_before);
     }
@@ -128,7 +128,8 @@
         let Head { mut reply, response, conn } = head;
         reply.stamped |= expect == Expect::Handle;
         let outcome = AttemptOutcome::from_reply(&reply, intake.caller.attempt.as_deref());
-        let (status, headers) = (response.status(), headers::returned(response.headers()));
+        let (status, headers) =
+            (response.status(), headers::forwarded_to_caller(response.headers()));
         let body = match response.into_body().collect().await {
             Ok(body) => body.to_bytes(),
             // A rejection is known from its head alone.
--- a/crates/daemon/src/gateway/store.rs
+++ b/crates/daemon/src/gateway/store.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use ebonyloft_platform::store::{self, Age, Item, Lease, Page, StoreError, Write};
+use ebonyloft_platform::store::{self, Consistency, Item, Lease, Page, StoreError, Write};
 use hyper::{Request, StatusCode};
 
 use super::pool::{ExchangeError, PendingAnswer, Pool};
@@ -45,25 +45,25 @@
 
     /// Reads one key; none if it does not exist.
     pub async fn get(&self, key: &str) -> Result<Option<Item>, StoreError> {
-        match self.call(store::get(key), CALL_TIMEOUT, store::read_item).await {
+        match self.call(store::get(key), CALL_TIMEOUT, store::parse_item).await {
             Ok(item) => Ok(Some(item)),
-            Err(StoreError::Missing) => Ok(None),
+            Err(StoreError::NotFound) => Ok(None),
             Err(e) => Err(e),
         }
     }
 
     /// Reads all items of a prefix. The revision is that of the first page, so that a watch from
     /// there also returns what changed between the pages, and whatever is newer than a stale list.
-    pub async fn list(&self, prefix: &str, age: Age) -> Result<Page, StoreError> {
-        let mut all = Page { items: Vec::new(), more: true, revision: u64::MAX };
+    pub async fn list(&self, prefix: &str, age: Consistency) -> Result<Page, StoreError> {
+        let mut all = Page { items: Vec::new(), has_more: true, revision: u64::MAX };
         for _ in 0..PAGES_MAX {
             let after = all.items.last().map(|i| i.key.clone()).unwrap_or_default();
             let req = store::range(prefix, &after, age);
-            let page = self.call(req, CALL_TIMEOUT, store::read_range).await?;
+            let page = self.call(req, CALL_TIMEOUT, store::parse_page).await?;
             all.revision = all.revision.min(page.revision);
-            all.more = page.more && !page.items.is_empty();
+            all.has_more = page.has_more && !page.items.is_empty();
             all.items.extend(page.items);
-            if !all.more {
+            if !all.has_more {
                 break;
             }
         }
@@ -74,7 +74,8 @@
     /// store is unreachable: its return is noticed within the time of a call, where a watch that
     /// began during the outage would only end after some three seconds.
     pub async fn poll_changes(&self, prefix: &str, after: u64) -> Result<Page, StoreError> {
-        self.call(store::watch(prefix, after, POLL_WAIT_MS), CALL_TIMEOUT, store::read_watch).await
+        self.call(store::watch(prefix, after, POLL_WAIT_MS), CALL_TIMEOUT, store::parse_changes)
+            .await
     }
 
     /// Changes of a prefix after a revision, as soon as there are any. Returns within `within`,
@@ -96,22 +97,23 @@
     pub async fn read_watch(&self, reply: PendingAnswer) -> Result<Page, StoreError> {
         let (status, body) =
             self.pool.finish_call(reply, CALL_TIMEOUT).await.map_err(store_error)?;
-        store::read_watch(status, &body)
+        store::parse_changes(status, &body)
     }
 
     /// Creates a lease.
     pub async fn lease(&self, ttl: Duration) -> Result<Lease, StoreError> {
-        self.call(store::lease(ttl.as_millis() as u64), CALL_TIMEOUT, store::read_lease).await
+        self.call(store::grant_lease(ttl.as_millis() as u64), CALL_TIMEOUT, store::parse_lease)
+            .await
     }
 
     /// Renews a lease.
     pub async fn renew(&self, id: u64) -> Result<u64, StoreError> {
-        self.call(store::keep(id), CALL_TIMEOUT, store::read_kept).await
+        self.call(store::renew_lease(id), CALL_TIMEOUT, store::parse_renewal).await
     }
 
     /// Revokes a lease, which deletes its keys.
     pub async fn revoke(&self, id: u64) -> Result<(), StoreError> {
-        self.call(store::end(id), CALL_TIMEOUT, |status, _| match status.is_success() {
+        self.call(store::revoke_lease(id), CALL_TIMEOUT, |status, _| match status.is_success() {
             true => Ok(()),
             false => Err(StoreError::Unknown { detail: format!("status {status}") }),
         })
@@ -124,7 +126,7 @@
         expected: &[(&str, u64)],
         writes: &[Write<'_>],
     ) -> Result<u64, StoreError> {
-        self.call(store::txn(expected, writes), CALL_TIMEOUT, store::read_txn).await
+        self.call(store::txn(expected, writes), CALL_TIMEOUT, store::parse_commit).await
     }
 
     async fn call<T>(
@@ -140,7 +142,7 @@
 
 fn store_error(e: ExchangeError) -> StoreError {
     match e {
-        ExchangeError::Unsent => StoreError::Busy { status: 0 },
+        ExchangeError::Unsent => StoreError::Rejected { status: 0 },
         ExchangeError::Lost => StoreError::Unknown { detail: "no answer in time".to_owned() },
     }
 }
--- a/crates/daemon/src/gateway/stream.rs
+++ b/crates/daemon/src/gateway/stream.rs
@@ -139,7 +139,7 @@
     out: &mut ResponseStream,
 ) -> Result<(), StreamError> {
     let engine = intake.config.service(&intake.service).and_then(|s| s.engine.clone());
-    let mut splitter = Splitter::resuming_after(intake.caller.after);
+    let mut splitter = Splitter::resuming_after(intake.caller.last_event);
     let mut tried: Vec<ServerId> = Vec::new();
     let mut failure = None;
     let mut cause = Cause::NoServer;
@@ -241,7 +241,7 @@
 fn learn_length(shared: &Shared, intake: &Intake, state: &StreamState) {
     let mut learned = shared.traffic_stats.borrow_mut();
     let lengths = learned.lengths(&intake.route().name);
-    lengths.observe(intake.caller.output, intake.caller.hint, state.generated);
+    lengths.observe(intake.caller.max_output, intake.caller.hint, state.generated);
 }
 
 /// When a caller should retry; none if the request may have run.
@@ -306,7 +306,7 @@
     if out.has_begun() {
         headers::set_priority(headers, RESUME_PRIORITY);
         if let Some(last) = splitter.last_id() {
-            headers::set_after(headers, last);
+            headers::set_last_event(headers, last);
         }
     } else if now > intake.goal_at {
         headers::set_priority(headers, LATE_PRIORITY);
@@ -342,7 +342,7 @@
     fate: AttemptOutcome,
 ) -> Option<send::CompleteAnswer> {
     let Head { reply, response, conn } = head;
-    let (status, headers) = (response.status(), headers::returned(response.headers()));
+    let (status, headers) = (response.status(), headers::forwarded_to_caller(response.headers()));
     let read = compio::time::timeout(STALL_TIMEOUT, response.into_body().collect()).await;
     let Ok(Ok(body)) = read else {
         conn.close();
--- a/crates/daemon/src/gateway/stream/admission.rs
+++ b/crates/daemon/src/gateway/stream/admission.rs
@@ -102,7 +102,7 @@
 /// Expected growth of the answer, as learned for its route.
 fn expected_growth(shared: &Shared, intake: &Intake) -> LengthForecast {
     let mut learned = shared.traffic_stats.borrow_mut();
-    learned.lengths(&intake.route().name).expect(intake.caller.output, intake.caller.hint)
+    learned.lengths(&intake.route().name).expect(intake.caller.max_output, intake.caller.hint)
 }
 
 fn need(
@@ -114,7 +114,7 @@
     resumed: bool,
 ) -> Demand {
     let first_by = if resumed { now.after(RESUME_WITHIN) } else { intake.goal_at };
-    let prompt = intake.caller.prompt;
+    let prompt = intake.caller.prompt_tokens;
     let mut learned = shared.service_estimates(&intake.service);
     learned.usual.observe(&growth, prompt);
     if !resumed {
@@ -240,10 +240,11 @@
     }
     shared.engines.borrow_mut().on_reserved(id, memory);
     shared.request_report();
-    let req = engine::hold(id, memory.reserved(), spec.hold.as_millis() as u64);
+    let req = engine::reserve(id, memory.reserved(), spec.hold.as_millis() as u64);
     let answer = announcements::call(shared, server, req, RESERVE_TIMEOUT).await;
     let now = shared.now();
-    let hold = answer.as_ref().ok().and_then(|(status, body)| engine::read_hold(*status, body));
+    let hold =
+        answer.as_ref().ok().and_then(|(status, body)| engine::parse_reservation(*status, body));
     if hold.is_some() {
         return hold;
     }
@@ -319,8 +320,8 @@
     let ms = shared.now().since(joined_at).as_millis() as u64;
     let SnapshotVersion { config, roster, age } = shared.snapshot_version();
     tracing::info!(
-        id = intake.id(), server = %server.id, prompt = intake.caller.prompt,
-        output = intake.caller.output, hint = intake.caller.hint, tokens = work.memory.now(),
+        id = intake.id(), server = %server.id, prompt = intake.caller.prompt_tokens,
+        output = intake.caller.max_output, hint = intake.caller.hint, tokens = work.memory.now(),
         peak = work.memory.peak(),
         count = work.count, ms, gives = need.value, free, config, roster, age, "placed"
     );
--- a/crates/daemon/src/gateway/stream/overflow.rs
+++ b/crates/daemon/src/gateway/stream/overflow.rs
@@ -134,7 +134,7 @@
     let request = ReservationRequest {
         id: intake.id().to_owned(),
         service: intake.service.clone(),
-        prompt: intake.caller.prompt,
+        prompt: intake.caller.prompt_tokens,
         made: state.generated,
         growth,
         gives: need.value,
--- a/crates/daemon/src/gateway/stream/prefill.rs
+++ b/crates/daemon/src/gateway/stream/prefill.rs
@@ -44,9 +44,9 @@
     }
     // All prefill engines are considered: whether any can be in time does not depend on the one
     // chosen.
-    match fastest_engine(shared, &intake.service, intake.caller.prompt, now) {
+    match fastest_engine(shared, &intake.service, intake.caller.prompt_tokens, now) {
         Some((_, at)) => at,
-        None => local_ready_at(shared, &intake.service, intake.caller.prompt, now),
+        None => local_ready_at(shared, &intake.service, intake.caller.prompt_tokens, now),
     }
 }
 
@@ -78,7 +78,7 @@
             // Of the prefill engines of another zone only the one named in the grant is known.
             Some(named) => named.clone().filter(|_| n == 0),
             None => {
-                let prompt = intake.caller.prompt;
+                let prompt = intake.caller.prompt_tokens;
                 pick(shared, &intake.service, prompt, zone, now, shared.gateways_in_scope())
             }
         };
@@ -137,14 +137,14 @@
     remote: bool,
 ) -> bool {
     let now = shared.now();
-    let prompt = intake.caller.prompt;
+    let prompt = intake.caller.prompt_tokens;
     let work = shared.engine_load(&server.id);
     let base_time = shared.service_estimates(&intake.service).reading.time(work, prompt);
     shared.engines.borrow_mut().on_prefill_sent(&server.id, prompt);
     shared.request_report();
     state.prefilling = Some((server.id.clone(), prompt));
     let mut req = intake.request(now, &server.id);
-    headers::set_prefill(req.headers_mut());
+    headers::set_prefill_only(req.headers_mut());
     let limit = ready_at.since(now) + PREFILL_SLACK;
     let SnapshotVersion { config, roster, age } = shared.snapshot_version();
     state.open_attempt = Some((server.clone(), now));
@@ -163,7 +163,7 @@
         rate, config, roster, age, "prefill ended"
     );
     shared.metrics.time("gateway.read_ms", ms);
-    let handle = answer.as_ref().and_then(|a| engine::read_prefilled(&a.body));
+    let handle = answer.as_ref().and_then(|a| engine::parse_prefill_result(&a.body));
     if let Some(handle) = handle {
         // The queue of another zone's prefill engine is not known here, so its time is no measure
         // of speed.
--- a/crates/daemon/src/gateway/stream/relay.rs
+++ b/crates/daemon/src/gateway/stream/relay.rs
@@ -25,7 +25,7 @@
 ) -> AttemptOutcome {
     let Head { response, conn, .. } = head;
     if !out.has_begun() {
-        out.send_head(response.status(), headers::returned(response.headers()));
+        out.send_head(response.status(), headers::forwarded_to_caller(response.headers()));
     }
     let mut body = response.into_body();
     let last_event_at = shared.now();
@@ -71,10 +71,10 @@
         self.last_event_at = now;
         // The engine's context includes the part of the answer that the caller got in an earlier
         // request.
-        let generated = self.intake.caller.after.unwrap_or(0) + self.splitter.count();
+        let generated = self.intake.caller.last_event.unwrap_or(0) + self.splitter.count();
         let generated = generated * tokens_per_event(self.intake);
         let tokens = generated.saturating_sub(self.state.generated);
-        self.state.record_generated(shared, self.intake.caller.prompt, generated);
+        self.state.record_generated(shared, self.intake.caller.prompt_tokens, generated);
         if self.splitter.count() == 1 {
             let ms = now.since(self.intake.came_at).as_millis() as u64;
             shared.metrics.time("gateway.first_event_ms", ms);
--- a/crates/daemon/src/gateway/stream/state.rs
+++ b/crates/daemon/src/gateway/stream/state.rs
@@ -101,10 +101,10 @@
     /// Sets the headers that name the reservation and the prompt handle.
     pub fn set_headers(&self, headers: &mut HeaderMap) {
         if let Some(hold_id) = self.reservation.as_ref().and_then(|r| r.hold_id.as_deref()) {
-            headers::set_hold(headers, hold_id);
+            headers::set_reservation(headers, hold_id);
         }
         if let Some(prefill_handle) = &self.prefill_handle {
-            headers::set_source(headers, prefill_handle.addr, &prefill_handle.handle);
+            headers::set_kv_source(headers, prefill_handle.addr, &prefill_handle.handle);
         }
     }
 
@@ -146,7 +146,7 @@
     /// Releases the prompt handle.
     pub fn drop_prefill_handle(&mut self, shared: &Shared) {
         if let Some(prefill_handle) = self.prefill_handle.take() {
-            let req = engine::drop_handle(&prefill_handle.id, &prefill_handle.handle);
+            let req = engine::release_handle(&prefill_handle.id, &prefill_handle.handle);
             send_release(shared, &prefill_handle.id, prefill_handle.addr, req);
         }
     }
@@ -166,7 +166,12 @@
             remote.close(shared);
         }
         if let Some(hold_id) = hold_id {
-            send_release(shared, &server.id, server.addr, engine::drop_hold(&server.id, &hold_id));
+            send_release(
+                shared,
+                &server.id,
+                server.addr,
+                engine::release_reservation(&server.id, &hold_id),
+            );
         }
         shared.engines.borrow_mut().on_released(now, &server.id, memory, complete);
         shared.request_report();
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use ebonyloft_core::time::Timestamp;
-use ebonyloft_platform::store::{Age, CONFIG_KEY, Item, StoreError};
+use ebonyloft_platform::store::{CONFIG_KEY, Consistency, Item, StoreError};
 use ebonyloft_platform::{config, servers};
 use ebonyloft_router::registry::{Change, Effect, Registration};
 use ebonyloft_router::staleness::ConfigStaleness;
@@ -60,7 +60,7 @@
     let mut backoff = BACKOFF_MIN;
     // The first list may be stale, since the watch from its revision brings it up to date. When
     // all gateways start at once, current lists would be delayed by the store's call limit.
-    let mut age = Age::Stale;
+    let mut age = Consistency::Stale;
     loop {
         if !shared.role.borrow().follows() {
             from = None;
@@ -73,7 +73,7 @@
         };
         match step {
             Ok(revision) => {
-                age = Age::Current;
+                age = Consistency::Current;
                 let changed = from.replace(revision).is_some_and(|before| before != revision);
                 backoff = BACKOFF_MIN;
                 if changed {
@@ -107,7 +107,7 @@
 async fn list(
     shared: &Rc<Shared>,
     prefix: &str,
-    age: Age,
+    age: Consistency,
     sink: &dyn Sink,
 ) -> Result<u64, StoreError> {
     // A gateway without a complete registry sends no requests, so it needs no second watch.
@@ -115,7 +115,7 @@
     let known_at = shared.now();
     let page = roster_watch::during(shared, None, known, shared.store.list(prefix, age)).await?;
     sink.replace(page.items, page.revision);
-    if age == Age::Current {
+    if age == Consistency::Current {
         on_store_answer(shared, prefix, known_at);
         confirm_config(shared, |recency| recency.confirm(known_at));
     }
@@ -276,7 +276,7 @@
 }
 
 fn change(item: &Item) -> Change {
-    let name = servers::name(&item.key).to_owned();
+    let name = servers::server_name(&item.key).to_owned();
     let decoded = item.value.as_ref().map(|value| servers::decode(&item.key, value));
     let entry = match decoded {
         None => Registration::Removed,
--- a/crates/daemon/src/gateway/watch/roster_watch.rs
+++ b/crates/daemon/src/gateway/watch/roster_watch.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use ebonyloft_platform::servers;
-use ebonyloft_platform::store::{Age, StoreError};
+use ebonyloft_platform::store::{Consistency, StoreError};
 use futures_util::future::{Either, select};
 
 use super::{BACKOFF_MAX, RosterSink, Sink, batch_delay, on_store_answer, watch_timeout};
@@ -68,7 +68,7 @@
 async fn step(shared: &Shared, from: Option<u64>, sink: &RosterSink) -> Result<u64, StoreError> {
     let Some(after) = from else {
         let known_at = shared.now();
-        let page = shared.store.list(servers::PREFIX, Age::Current).await?;
+        let page = shared.store.list(servers::PREFIX, Consistency::Current).await?;
         sink.replace(page.items, page.revision);
         on_store_answer(shared, servers::PREFIX, known_at);
         return Ok(page.revision);
--- a/crates/daemon/tests/soak/cluster.rs
+++ b/crates/daemon/tests/soak/cluster.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use compio::net::TcpListener;
-use ebonyloft_platform::serve::{self, ServedAccount};
+use ebonyloft_platform::serve::{self, AccountSpec};
 use ebonyloft_platform::store::CONFIG_KEY;
 use ebonyloft_router::catalog::{Server, ServerId, Stage};
 use ebonyloft_standins::fleet::caller::Caller;
@@ -125,19 +125,19 @@
     if !plan.needs_keys() {
         return serve::config(&config);
     }
-    let account = |name: &str, keys: Vec<String>, quota| ServedAccount {
+    let account = |name: &str, keys: Vec<String>, quota| AccountSpec {
         name: name.to_owned(),
         keys,
         quota,
         plain: TOKENS_PER_CALL,
-        ..ServedAccount::default()
+        ..AccountSpec::default()
     };
     let accounts = [
         account("steady", vec![UNLIMITED_KEY.to_owned()], None),
         account("bounded", vec![QUOTA_KEY.to_owned()], Some(QUOTA)),
         account("short", keys.iter().cloned().collect(), None),
     ];
-    serve::keyed_config(&config, &accounts)
+    serve::config_with_accounts(&config, &accounts)
 }
 
 /// Runs one plan. Failures name the seed.
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ebonyloft_platform::serve::{self, ServedAccount};
+use ebonyloft_platform::serve::{self, AccountSpec};
 use ebonyloft_platform::store::CONFIG_KEY;
 use ebonyloft_router::catalog::{
     Config, Engine, Kind, Limits, Route, Server, ServerId, Service, Split, Stage,
@@ -69,7 +69,7 @@
     /// How engines and plain backend servers behave.
     pub runner: RunnerSpec,
     /// Client accounts; none where callers show no key.
-    pub accounts: Option<Vec<ServedAccount>>,
+    pub accounts: Option<Vec<AccountSpec>>,
     /// Within which a key that was taken away must stop running work.
     pub revoke: Option<Duration>,
 }
@@ -259,12 +259,12 @@
     }
 
     /// Puts a configuration of this version with these client accounts in force; `/open/` needs no key.
-    pub fn set_accounts(&self, version: u64, accounts: &[ServedAccount]) {
+    pub fn set_accounts(&self, version: u64, accounts: &[AccountSpec]) {
         let mut config = config(version, &FleetSpec::default());
         let check = config.routes.iter().find(|r| r.name == "check").expect("a route").clone();
         let (name, prefix) = ("open".to_owned(), OPEN.to_owned());
         config.routes.push(Route { name, prefix, public: true, ..check });
-        self.store.put(CONFIG_KEY, &serve::keyed_config(&config, accounts), 0);
+        self.store.put(CONFIG_KEY, &serve::config_with_accounts(&config, accounts), 0);
     }
 
     /// The status of a gateway's readiness check.
--- a/crates/standins/src/fleet/caller.rs
+++ b/crates/standins/src/fleet/caller.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use ebonyloft_platform::serve::{self, Sent};
+use ebonyloft_platform::serve::{self, CallerRequest};
 use ebonyloftd::clock::Clock;
 use ebonyloftd::gateway::pool::{Conn, ExchangeError, IDLE_MAX, Pool};
 use http_body_util::BodyExt;
@@ -84,7 +84,15 @@
         let body = Bytes::from_static(b"{\"badge\":114}");
         let patience = Duration::from_secs(1);
         let tokens = None;
-        self.send(serve::request(&Sent { host: HOST, path, attempt, patience, tokens, body })).await
+        self.send(serve::caller_request(&CallerRequest {
+            host: HOST,
+            path,
+            attempt,
+            time_left: patience,
+            tokens,
+            body,
+        }))
+        .await
     }
 
     /// A summary.
@@ -102,15 +110,29 @@
         let summary = path.starts_with("/summary");
         let patience = if summary { self.patience } else { Duration::from_secs(1) };
         let tokens = summary.then_some((3_000, 2_040));
-        let sent = Sent { host: HOST, path, attempt, patience, tokens, body: body.into() };
-        self.send(serve::request(&sent)).await
+        let sent = CallerRequest {
+            host: HOST,
+            path,
+            attempt,
+            time_left: patience,
+            tokens,
+            body: body.into(),
+        };
+        self.send(serve::caller_request(&sent)).await
     }
 
     /// The request of a summary.
     pub fn summary_request(&self, path: &str, attempt: &str) -> Request<Bytes> {
         let body = Bytes::from(vec![b'x'; 3_000]);
         let (patience, tokens) = (self.patience, Some((3_000, 2_040)));
-        serve::request(&Sent { host: HOST, path, attempt, patience, tokens, body })
+        serve::caller_request(&CallerRequest {
+            host: HOST,
+            path,
+            attempt,
+            time_left: patience,
+            tokens,
+            body,
+        })
     }
 
     /// Sends a request and reads what comes of the answer.
@@ -154,7 +176,7 @@
     ) -> Result<(Response<Incoming>, Conn), ExchangeError> {
         let mut req = req;
         if let Some(key) = &self.key {
-            serve::show_key(&mut req, key);
+            serve::set_api_key(&mut req, key);
         }
         let mut conn = self.pool.take(self.addr, IDLE_MAX).await?;
         let response = conn.exchange(req).await?;
--- a/crates/standins/src/fleet/runner.rs
+++ b/crates/standins/src/fleet/runner.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use ebonyloft_platform::serve::{self, Answered, RunnerCall, Work};
+use ebonyloft_platform::serve::{self, BackendCall, BackendRequest, ResponseHead};
 use ebonyloft_router::catalog::{Server, ServerId, Stage};
 use ebonyloft_router::outcome::Load;
 use ebonyloftd::gateway::answer::{Body, BodyAborted, full};
@@ -333,52 +333,60 @@
         let mark = Mark::of(&body);
         let (leaving, me) = (self.leaving.get(), self.clone());
         let limit = self.limit.borrow().clone();
-        let call = serve::runner_call(&Request::from_parts(parts, body));
+        let call = serve::parse_backend_call(&Request::from_parts(parts, body));
         let mut response = me.answer(call, mark).await;
         if leaving {
-            serve::say_leaving(response.headers_mut());
+            serve::set_leaving(response.headers_mut());
         }
         if let Some(limit) = limit {
-            serve::say_limit(response.headers_mut(), &limit);
+            serve::set_limit(response.headers_mut(), &limit);
         }
         response
     }
 
     async fn answer(
         self: Rc<Self>,
-        call: Option<RunnerCall>,
+        call: Option<BackendCall>,
         mark: Option<Mark>,
     ) -> Response<Body> {
         if let Some(call) = &call
-            && !matches!(call, RunnerCall::DropHold { .. } | RunnerCall::DropHandle { .. })
+            && !matches!(
+                call,
+                BackendCall::ReleaseReservation { .. } | BackendCall::ReleaseHandle { .. }
+            )
         {
             self.seen.borrow_mut().taken.push(Instant::now());
         }
         match call {
             None => response(400, HeaderMap::new(), Vec::new()),
-            Some(RunnerCall::Hold { tokens, ttl }) => self.hold(tokens, ttl),
-            Some(RunnerCall::DropHold { hold }) => {
+            Some(BackendCall::Reserve { tokens, ttl }) => self.hold(tokens, ttl),
+            Some(BackendCall::ReleaseReservation { hold }) => {
                 self.seen.borrow_mut().given_back.push(Instant::now());
                 self.holds.borrow_mut().remove(&hold);
                 response(200, HeaderMap::new(), Vec::new())
             }
-            Some(RunnerCall::DropHandle { handle }) => {
+            Some(BackendCall::ReleaseHandle { handle }) => {
                 self.seen.borrow_mut().given_back.push(Instant::now());
                 self.handles.borrow_mut().remove(&handle);
                 response(200, HeaderMap::new(), Vec::new())
             }
-            Some(RunnerCall::Order { stage, fence, .. }) => {
+            Some(BackendCall::Order { stage, fence, .. }) => {
                 self.seen.borrow_mut().orders.push((stage, fence));
                 response(202, HeaderMap::new(), Vec::new())
             }
-            Some(RunnerCall::Work(work)) => self.work(work, mark).await,
+            Some(BackendCall::Work(work)) => self.work(work, mark).await,
         }
     }
 
-    async fn work(self: Rc<Self>, work: Work, mark: Option<Mark>) -> Response<Body> {
-        if work.expected.as_ref().is_some_and(|id| id.name != self.server.borrow().id.name) {
+    async fn work(self: Rc<Self>, work: BackendRequest, mark: Option<Mark>) -> Response<Body> {
+        if work.expected_instance.as_ref().is_some_and(|id| id.name != self.server.borrow().id.name)
+        {
             self.note_lost_prompt(&work);
-            return response(serve::MOVED.as_u16(), serve::rejection(&work.attempt), Vec::new());
+            return response(
+                serve::WRONG_INSTANCE.as_u16(),
+                serve::rejection_headers(&work.attempt),
+                Vec::new(),
+            );
         }
         self.note_sender(&work);
         if !work.prefill {
@@ -392,17 +400,17 @@
         }
         if let Some(seconds) = &*self.pause.borrow() {
             self.note_lost_prompt(&work);
-            let mut head = serve::rejection(&work.attempt);
-            serve::say_pause(&mut head, seconds);
+            let mut head = serve::rejection_headers(&work.attempt);
+            serve::set_retry_after(&mut head, seconds);
             return response(503, head, Vec::new());
         }
         let full = self.running.get() >= self.spec.slots;
         let turned = self.fault.get() == Fault::Changes && !work.prefill;
         if full || turned || self.fault.get() == Fault::Sheds {
             self.note_lost_prompt(&work);
-            return response(503, serve::rejection(&work.attempt), Vec::new());
+            return response(503, serve::rejection_headers(&work.attempt), Vec::new());
         }
-        let (stage, patience) = (self.server.borrow().stage, work.patience);
+        let (stage, patience) = (self.server.borrow().stage, work.time_left);
         let attempt = work.attempt.clone();
         if self.fault.get() == Fault::Stuck && !work.prefill {
             self.note_run(&attempt);
@@ -419,7 +427,7 @@
     async fn run(
         self: Rc<Self>,
         stage: Option<Stage>,
-        work: Work,
+        work: BackendRequest,
         mark: Option<Mark>,
     ) -> Response<Body> {
         if let Some(mark) = mark
@@ -443,7 +451,11 @@
             (Some(Stage::Prefill), true) => self.read(work).await,
             (Some(Stage::Decode), false) => self.write(work).await,
             (None, false) => self.call(work).await,
-            _ => response(serve::MOVED.as_u16(), serve::rejection(&work.attempt), Vec::new()),
+            _ => response(
+                serve::WRONG_INSTANCE.as_u16(),
+                serve::rejection_headers(&work.attempt),
+                Vec::new(),
+            ),
         }
     }
 
@@ -460,10 +472,10 @@
         }
         let name = self.name("hold");
         holds.insert(name.clone(), (tokens, now + ttl));
-        response(200, HeaderMap::new(), serve::held(&name))
+        response(200, HeaderMap::new(), serve::reservation_body(&name))
     }
 
-    async fn read(&self, work: Work) -> Response<Body> {
+    async fn read(&self, work: BackendRequest) -> Response<Body> {
         let run = Run::begin(self, 0);
         compio::time::sleep(self.spec.read).await;
         run.close();
@@ -473,11 +485,14 @@
         drop(seen);
         let handle = self.name("handle");
         self.handles.borrow_mut().insert(handle.clone(), Instant::now() + self.spec.handle_life);
-        let head = serve::answer_head(&Answered { attempt: work.attempt, ..Answered::default() });
-        response(200, head, serve::read_prompt(&handle, work.prompt))
+        let head = serve::response_headers(&ResponseHead {
+            attempt: work.attempt,
+            ..ResponseHead::default()
+        });
+        response(200, head, serve::prefill_body(&handle, work.prompt))
     }
 
-    async fn call(&self, work: Work) -> Response<Body> {
+    async fn call(&self, work: BackendRequest) -> Response<Body> {
         self.note_run(&work.attempt);
         let run = Run::begin(self, 0);
         match self.fault.get() {
@@ -495,8 +510,8 @@
         }
     }
 
-    async fn write(self: Rc<Self>, work: Work) -> Response<Body> {
-        if let Some(hold) = &work.hold {
+    async fn write(self: Rc<Self>, work: BackendRequest) -> Response<Body> {
+        if let Some(hold) = &work.reservation {
             self.holds.borrow_mut().remove(hold);
         }
         self.note_run(&work.attempt);
@@ -515,10 +530,14 @@
         response
     }
 
-    async fn stream(&self, work: Work, mut out: mpsc::Sender<Result<Frame<Bytes>, BodyAborted>>) {
+    async fn stream(
+        &self,
+        work: BackendRequest,
+        mut out: mpsc::Sender<Result<Frame<Bytes>, BodyAborted>>,
+    ) {
         let run = Run::begin(self, work.prompt);
         let first = work.after.map_or(1, |a| a + 1);
-        if work.source.is_none() {
+        if work.kv_source.is_none() {
             compio::time::sleep(self.spec.read * 2).await;
         }
         for id in first..=self.spec.events {
@@ -548,16 +567,16 @@
         let id = self.server.borrow().id.name.clone();
         let load = Load { running: self.running.get(), waiting: 0, slots: self.spec.slots };
         let attempt = attempt.to_owned();
-        serve::answer_head(&Answered { attempt, stamp: Some(id), load: Some(load) })
+        serve::response_headers(&ResponseHead { attempt, stamp: Some(id), load: Some(load) })
     }
 
-    fn note_sender(&self, work: &Work) {
+    fn note_sender(&self, work: &BackendRequest) {
         let mut seen = self.seen.borrow_mut();
-        seen.keyed += u64::from(work.keyed);
+        seen.keyed += u64::from(work.has_key);
         seen.accounts.insert(work.attempt.clone(), work.accounts.clone());
     }
 
-    fn note_lost_prompt(&self, work: &Work) {
+    fn note_lost_prompt(&self, work: &BackendRequest) {
         if work.prefill {
             let mut seen = self.seen.borrow_mut();
             *seen.lost_prompts.entry(work.attempt.clone()).or_default() += 1;
--- a/crates/standins/src/fleet/store.rs
+++ b/crates/standins/src/fleet/store.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use compio::net::TcpListener;
-use ebonyloft_platform::serve::{self, StoreCall, Written};
+use ebonyloft_platform::serve::{self, StoreCall, StoreWrite};
 use ebonyloft_platform::servers;
 use ebonyloft_platform::store::Item;
 use ebonyloft_router::catalog::Server;
@@ -147,7 +147,7 @@
         self.calls.set(self.calls.get() + 1);
         let (parts, body) = req.into_parts();
         let body = http::read_body(body, BODY_LIMIT).await.unwrap_or_default();
-        let Some(call) = serve::store_call(&Request::from_parts(parts, body)) else {
+        let Some(call) = serve::parse_store_call(&Request::from_parts(parts, body)) else {
             return answer(400, Vec::new());
         };
         match self.fault.get() {
@@ -172,15 +172,15 @@
             StoreCall::Get { key } => self.state.borrow().get(&key),
             StoreCall::Range { prefix, after } => self.state.borrow().range(&prefix, &after),
             StoreCall::Watch { prefix, after, wait } => self.watch(&prefix, after, wait).await,
-            StoreCall::Lease { ttl } => {
+            StoreCall::GrantLease { ttl } => {
                 let id = self.state.borrow_mut().grant(ttl);
-                (200, serve::granted(id, ttl))
+                (200, serve::lease_body(id, ttl))
             }
-            StoreCall::Keep { id } => match self.state.borrow_mut().renew(id) {
-                Some(ttl) => (200, serve::kept(ttl)),
+            StoreCall::RenewLease { id } => match self.state.borrow_mut().renew(id) {
+                Some(ttl) => (200, serve::renewal_body(ttl)),
                 None => (404, Vec::new()),
             },
-            StoreCall::End { id } => {
+            StoreCall::RevokeLease { id } => {
                 self.state.borrow_mut().end(id);
                 (200, Vec::new())
             }
@@ -206,7 +206,7 @@
                 }
                 let news = state.since(prefix, after);
                 if !news.is_empty() || Instant::now() >= end {
-                    return (200, serve::changes(&news, state.revision));
+                    return (200, serve::changes_body(&news, state.revision));
                 }
             }
             compio::time::sleep(LOOK).await;
@@ -227,7 +227,7 @@
 
     fn get(&self, key: &str) -> (u16, Vec<u8>) {
         match self.items.get(key) {
-            Some((item, _)) => (200, serve::one(item, self.revision)),
+            Some((item, _)) => (200, serve::item_body(item, self.revision)),
             None => (404, Vec::new()),
         }
     }
@@ -239,7 +239,7 @@
             .map(|(i, _)| i)
             .filter(|i| i.key.starts_with(prefix) && i.key.as_str() > after);
         let page: Vec<Item> = found.by_ref().take(PAGE).cloned().collect();
-        (200, serve::range(&page, found.next().is_some(), self.revision))
+        (200, serve::page_body(&page, found.next().is_some(), self.revision))
     }
 
     fn since(&self, prefix: &str, after: u64) -> Vec<Item> {
@@ -280,7 +280,7 @@
     fn txn(
         &mut self,
         expected: &[(String, u64)],
-        writes: &[Written],
+        writes: &[StoreWrite],
         remove: &[String],
     ) -> (u16, Vec<u8>) {
         let holds = |(key, revision): &(String, u64)| {
@@ -298,7 +298,7 @@
         for key in remove {
             self.write(key, None, 0);
         }
-        (200, serve::committed(self.revision))
+        (200, serve::commit_body(self.revision))
     }
 }
 
--- a/crates/standins/tests/accounts.rs
+++ b/crates/standins/tests/accounts.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use ebonyloft_platform::serve::ServedAccount;
+use ebonyloft_platform::serve::AccountSpec;
 use ebonyloft_standins::fleet::caller::Answer;
 use ebonyloft_standins::fleet::store::Fault;
 use ebonyloft_standins::fleet::{
@@ -15,12 +15,12 @@
 const REVOKE: Duration = Duration::from_millis(3_000);
 const SECOND: Duration = Duration::from_secs(1);
 
-fn account(name: &str, keys: &[&str], quota: Option<(u64, u64)>) -> ServedAccount {
+fn account(name: &str, keys: &[&str], quota: Option<(u64, u64)>) -> AccountSpec {
     let keys = keys.iter().map(|key| (*key).to_owned()).collect();
-    ServedAccount { name: name.to_owned(), keys, quota, plain: 200, ..ServedAccount::default() }
+    AccountSpec { name: name.to_owned(), keys, quota, plain: 200, ..AccountSpec::default() }
 }
 
-fn spec(gateways: usize, accounts: Vec<ServedAccount>) -> FleetSpec {
+fn spec(gateways: usize, accounts: Vec<AccountSpec>) -> FleetSpec {
     let (accounts, revoke) = (Some(accounts), Some(REVOKE));
     FleetSpec { gateways, accounts, revoke, ..FleetSpec::default() }
 }
