--- a/crates/daemon/tests/soak/cluster.rs
+++ b/crates/daemon/tests/soak/cluster.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use compio::net::TcpListener;
-use ebonyloft_platform::serve::{self, AccountSpec};
+use ebonyloft_platform::simulation::{self, AccountSpec};
 use ebonyloft_platform::store::CONFIG_KEY;
 use ebonyloft_router::catalog::{Server, ServerId, Stage};
 use ebonyloft_standins::fleet::caller::Caller;
@@ -123,7 +123,7 @@
 fn configuration(version: u64, plan: Plan, keys: &BTreeSet<String>) -> Vec<u8> {
     let config = config(version, &FleetSpec::default());
     if !plan.needs_keys() {
-        return serve::config(&config);
+        return simulation::config(&config);
     }
     let account = |name: &str, keys: Vec<String>, quota| AccountSpec {
         name: name.to_owned(),
@@ -137,7 +137,7 @@
         account("bounded", vec![QUOTA_KEY.to_owned()], Some(QUOTA)),
         account("short", keys.iter().cloned().collect(), None),
     ];
-    serve::config_with_accounts(&config, &accounts)
+    simulation::config_with_accounts(&config, &accounts)
 }
 
 /// Runs one plan. Failures name the seed.
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ebonyloft_platform::serve::{self, AccountSpec};
+use ebonyloft_platform::simulation::{self, AccountSpec};
 use ebonyloft_platform::store::CONFIG_KEY;
 use ebonyloft_router::catalog::{
     Config, Engine, Kind, Limits, Route, Server, ServerId, Service, Split, Stage,
@@ -255,7 +255,7 @@
 
     /// Puts a configuration in force.
     pub fn configure(&self, config: &Config) {
-        self.store.put(CONFIG_KEY, &serve::config(config), 0);
+        self.store.put(CONFIG_KEY, &simulation::config(config), 0);
     }
 
     /// Puts a configuration of this version with these client accounts in force; `/open/` needs no key.
@@ -264,7 +264,7 @@
         let check = config.routes.iter().find(|r| r.name == "check").expect("a route").clone();
         let (name, prefix) = ("open".to_owned(), OPEN.to_owned());
         config.routes.push(Route { name, prefix, public: true, ..check });
-        self.store.put(CONFIG_KEY, &serve::config_with_accounts(&config, accounts), 0);
+        self.store.put(CONFIG_KEY, &simulation::config_with_accounts(&config, accounts), 0);
     }
 
     /// The status of a gateway's readiness check.
--- a/crates/standins/src/fleet/caller.rs
+++ b/crates/standins/src/fleet/caller.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use ebonyloft_platform::serve::{self, CallerRequest};
+use ebonyloft_platform::simulation::{self, CallerRequest};
 use ebonyloftd::clock::Clock;
 use ebonyloftd::gateway::pool::{Conn, ExchangeError, IDLE_MAX, Pool};
 use http_body_util::BodyExt;
@@ -84,7 +84,7 @@
         let body = Bytes::from_static(b"{\"badge\":114}");
         let patience = Duration::from_secs(1);
         let tokens = None;
-        self.send(serve::caller_request(&CallerRequest {
+        self.send(simulation::caller_request(&CallerRequest {
             host: HOST,
             path,
             attempt,
@@ -118,14 +118,14 @@
             tokens,
             body: body.into(),
         };
-        self.send(serve::caller_request(&sent)).await
+        self.send(simulation::caller_request(&sent)).await
     }
 
     /// The request of a summary.
     pub fn summary_request(&self, path: &str, attempt: &str) -> Request<Bytes> {
         let body = Bytes::from(vec![b'x'; 3_000]);
         let (patience, tokens) = (self.patience, Some((3_000, 2_040)));
-        serve::caller_request(&CallerRequest {
+        simulation::caller_request(&CallerRequest {
             host: HOST,
             path,
             attempt,
@@ -176,7 +176,7 @@
     ) -> Result<(Response<Incoming>, Conn), ExchangeError> {
         let mut req = req;
         if let Some(key) = &self.key {
-            serve::set_api_key(&mut req, key);
+            simulation::set_api_key(&mut req, key);
         }
         let mut conn = self.pool.take(self.addr, IDLE_MAX).await?;
         let response = conn.exchange(req).await?;
--- a/crates/standins/src/fleet/runner.rs
+++ b/crates/standins/src/fleet/runner.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use ebonyloft_platform::serve::{self, BackendCall, BackendRequest, ResponseHead};
+use ebonyloft_platform::simulation::{self, BackendCall, BackendRequest, ResponseHead};
 use ebonyloft_router::catalog::{Server, ServerId, Stage};
 use ebonyloft_router::outcome::Load;
 use ebonyloftd::gateway::answer::{Body, BodyAborted, full};
@@ -333,13 +333,13 @@
         let mark = Mark::of(&body);
         let (leaving, me) = (self.leaving.get(), self.clone());
         let limit = self.limit.borrow().clone();
-        let call = serve::parse_backend_call(&Request::from_parts(parts, body));
+        let call = simulation::parse_backend_call(&Request::from_parts(parts, body));
         let mut response = me.answer(call, mark).await;
         if leaving {
-            serve::set_leaving(response.headers_mut());
+            simulation::set_leaving(response.headers_mut());
         }
         if let Some(limit) = limit {
-            serve::set_limit(response.headers_mut(), &limit);
+            simulation::set_limit(response.headers_mut(), &limit);
         }
         response
     }
@@ -383,8 +383,8 @@
         {
             self.note_lost_prompt(&work);
             return response(
-                serve::WRONG_INSTANCE.as_u16(),
-                serve::rejection_headers(&work.attempt),
+                simulation::WRONG_INSTANCE.as_u16(),
+                simulation::rejection_headers(&work.attempt),
                 Vec::new(),
             );
         }
@@ -400,15 +400,15 @@
         }
         if let Some(seconds) = &*self.pause.borrow() {
             self.note_lost_prompt(&work);
-            let mut head = serve::rejection_headers(&work.attempt);
-            serve::set_retry_after(&mut head, seconds);
+            let mut head = simulation::rejection_headers(&work.attempt);
+            simulation::set_retry_after(&mut head, seconds);
             return response(503, head, Vec::new());
         }
         let full = self.running.get() >= self.spec.slots;
         let turned = self.fault.get() == Fault::Changes && !work.prefill;
         if full || turned || self.fault.get() == Fault::Sheds {
             self.note_lost_prompt(&work);
-            return response(503, serve::rejection_headers(&work.attempt), Vec::new());
+            return response(503, simulation::rejection_headers(&work.attempt), Vec::new());
         }
         let (stage, patience) = (self.server.borrow().stage, work.time_left);
         let attempt = work.attempt.clone();
@@ -452,8 +452,8 @@
             (Some(Stage::Decode), false) => self.write(work).await,
             (None, false) => self.call(work).await,
             _ => response(
-                serve::WRONG_INSTANCE.as_u16(),
-                serve::rejection_headers(&work.attempt),
+                simulation::WRONG_INSTANCE.as_u16(),
+                simulation::rejection_headers(&work.attempt),
                 Vec::new(),
             ),
         }
@@ -472,7 +472,7 @@
         }
         let name = self.name("hold");
         holds.insert(name.clone(), (tokens, now + ttl));
-        response(200, HeaderMap::new(), serve::reservation_body(&name))
+        response(200, HeaderMap::new(), simulation::reservation_body(&name))
     }
 
     async fn read(&self, work: BackendRequest) -> Response<Body> {
@@ -485,11 +485,11 @@
         drop(seen);
         let handle = self.name("handle");
         self.handles.borrow_mut().insert(handle.clone(), Instant::now() + self.spec.handle_life);
-        let head = serve::response_headers(&ResponseHead {
+        let head = simulation::response_headers(&ResponseHead {
             attempt: work.attempt,
             ..ResponseHead::default()
         });
-        response(200, head, serve::prefill_body(&handle, work.prompt))
+        response(200, head, simulation::prefill_body(&handle, work.prompt))
     }
 
     async fn call(&self, work: BackendRequest) -> Response<Body> {
@@ -567,7 +567,7 @@
         let id = self.server.borrow().id.name.clone();
         let load = Load { running: self.running.get(), waiting: 0, slots: self.spec.slots };
         let attempt = attempt.to_owned();
-        serve::response_headers(&ResponseHead { attempt, stamp: Some(id), load: Some(load) })
+        simulation::response_headers(&ResponseHead { attempt, stamp: Some(id), load: Some(load) })
     }
 
     fn note_sender(&self, work: &BackendRequest) {
--- a/crates/standins/src/fleet/store.rs
+++ b/crates/standins/src/fleet/store.rs
@@ -8,8 +8,8 @@
 
 use bytes::Bytes;
 use compio::net::TcpListener;
-use ebonyloft_platform::serve::{self, StoreCall, StoreWrite};
 use ebonyloft_platform::servers;
+use ebonyloft_platform::simulation::{self, StoreCall, StoreWrite};
 use ebonyloft_platform::store::Item;
 use ebonyloft_router::catalog::Server;
 use ebonyloftd::http::{self, Body};
@@ -128,7 +128,7 @@
     /// Writes a backend server's registration.
     pub fn register(&self, server: &Server) {
         let key = format!("{}{}", servers::PREFIX, server.id.name);
-        self.put(&key, &serve::registration(server), 0);
+        self.put(&key, &simulation::registration(server), 0);
     }
 
     /// Removes a backend server's registration.
@@ -147,7 +147,7 @@
         self.calls.set(self.calls.get() + 1);
         let (parts, body) = req.into_parts();
         let body = http::read_body(body, BODY_LIMIT).await.unwrap_or_default();
-        let Some(call) = serve::parse_store_call(&Request::from_parts(parts, body)) else {
+        let Some(call) = simulation::parse_store_call(&Request::from_parts(parts, body)) else {
             return answer(400, Vec::new());
         };
         match self.fault.get() {
@@ -174,10 +174,10 @@
             StoreCall::Watch { prefix, after, wait } => self.watch(&prefix, after, wait).await,
             StoreCall::GrantLease { ttl } => {
                 let id = self.state.borrow_mut().grant(ttl);
-                (200, serve::lease_body(id, ttl))
+                (200, simulation::lease_body(id, ttl))
             }
             StoreCall::RenewLease { id } => match self.state.borrow_mut().renew(id) {
-                Some(ttl) => (200, serve::renewal_body(ttl)),
+                Some(ttl) => (200, simulation::renewal_body(ttl)),
                 None => (404, Vec::new()),
             },
             StoreCall::RevokeLease { id } => {
@@ -206,7 +206,7 @@
                 }
                 let news = state.since(prefix, after);
                 if !news.is_empty() || Instant::now() >= end {
-                    return (200, serve::changes_body(&news, state.revision));
+                    return (200, simulation::changes_body(&news, state.revision));
                 }
             }
             compio::time::sleep(LOOK).await;
@@ -227,7 +227,7 @@
 
     fn get(&self, key: &str) -> (u16, Vec<u8>) {
         match self.items.get(key) {
-            Some((item, _)) => (200, serve::item_body(item, self.revision)),
+            Some((item, _)) => (200, simulation::item_body(item, self.revision)),
             None => (404, Vec::new()),
         }
     }
@@ -239,7 +239,7 @@
             .map(|(i, _)| i)
             .filter(|i| i.key.starts_with(prefix) && i.key.as_str() > after);
         let page: Vec<Item> = found.by_ref().take(PAGE).cloned().collect();
-        (200, serve::page_body(&page, found.next().is_some(), self.revision))
+        (200, simulation::page_body(&page, found.next().is_some(), self.revision))
     }
 
     fn since(&self, prefix: &str, after: u64) -> Vec<Item> {
@@ -298,7 +298,7 @@
         for key in remove {
             self.write(key, None, 0);
         }
-        (200, serve::commit_body(self.revision))
+        (200, simulation::commit_body(self.revision))
     }
 }
 
--- a/crates/standins/tests/accounts.rs
+++ b/crates/standins/tests/accounts.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use ebonyloft_platform::serve::AccountSpec;
+use ebonyloft_platform::simulation::AccountSpec;
 use ebonyloft_standins::fleet::caller::Answer;
 use ebonyloft_standins::fleet::store::Fault;
 use ebonyloft_standins::fleet::{
