--- a/crates/check/src/accounts.rs
+++ b/crates/check/src/accounts.rs
@@ -91,7 +91,7 @@
 
 impl AccountsSpec {
     /// The fault to inject.
-    pub fn trouble(&self) -> Fault {
+    pub fn fault(&self) -> Fault {
         match self.seed % 6 {
             0 => Fault::None,
             1 => Fault::StoreCut,
@@ -107,32 +107,38 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
     /// How long after the revocation bound the revoked key last started a request, in milliseconds.
-    pub late: u64,
+    pub late_ms: u64,
     /// Requests that ran with the revoked key and were sent after the revocation.
-    pub ran: usize,
+    pub ran_revoked: usize,
     /// Largest use of a window, as a share of what is tolerated.
-    pub over: f64,
+    pub window_peak: f64,
     /// Smallest share of a rate limit that was used by accounts with more demand; 1 in runs with faults.
-    pub used: f64,
+    pub used_share: f64,
     /// Share of its requests that were served to an account within its limit; 1 in runs with faults.
-    pub served: f64,
+    pub served_share: f64,
     /// Bytes per second that a gateway sent for API keys and quotas: the mean, and the busiest gateway.
     pub bytes: (f64, f64),
 }
 
 impl Tally {
     /// The first guarantee that was violated.
-    pub fn broken(&self) -> Option<String> {
+    pub fn violation(&self) -> Option<String> {
         let checks = [
             (
-                self.late > 0,
-                format!("a revoked key started a request {} ms after the bound", self.late),
+                self.late_ms > 0,
+                format!("a revoked key started a request {} ms after the bound", self.late_ms),
             ),
-            (self.over > 1.0, format!("a window used {:.3} of what is tolerated", self.over)),
-            (self.used < USED_MIN, format!("only {:.3} of a rate limit could be used", self.used)),
             (
-                self.served < USED_MIN,
-                format!("only {:.3} of the requests within a limit were served", self.served),
+                self.window_peak > 1.0,
+                format!("a window used {:.3} of what is tolerated", self.window_peak),
+            ),
+            (
+                self.used_share < USED_MIN,
+                format!("only {:.3} of a rate limit could be used", self.used_share),
+            ),
+            (
+                self.served_share < USED_MIN,
+                format!("only {:.3} of the requests within a limit were served", self.served_share),
             ),
         ];
         checks.into_iter().find(|(violated, _)| *violated).map(|(_, message)| message)
--- a/crates/check/src/accounts/simulation.rs
+++ b/crates/check/src/accounts/simulation.rs
@@ -700,10 +700,10 @@
             (0..gateways).filter(|_| self.rng.random_bool(1.0 / 3.0)).collect();
         let random_ms =
             |rng: &mut ChaCha8Rng, from, to| Duration::from_millis(rng.random_range(from..to));
-        match self.spec.trouble() {
+        match self.spec.fault() {
             Fault::None => {}
             Fault::StoreCut | Fault::Cut => {
-                let isolated = self.spec.trouble() == Fault::Cut;
+                let isolated = self.spec.fault() == Fault::Cut;
                 for gateway in affected {
                     self.hosts[gateway].store_cut = true;
                     self.hosts[gateway].isolated = isolated;
@@ -780,21 +780,23 @@
         let after = self.ran[REVOKED_KEY].iter().filter(|(sent, _)| *sent > revoked_at);
         let late =
             after.clone().map(|(_, ran)| ran.since(revoked_at.after(REVOKE_BOUND)).as_millis());
-        let no_fault = self.spec.trouble() == Fault::None;
+        let no_fault = self.spec.fault() == Fault::None;
         let used_share = |account: usize| self.used_share(account);
         let served = self.served[WITHIN_LIMIT] as f64 / self.asked[WITHIN_LIMIT].max(1) as f64;
         let seconds = RUN_TIME.as_secs_f64();
         let sent = self.hosts.iter().map(|h| h.bytes as f64 / seconds);
         Tally {
-            late: late.max().unwrap_or_default() as u64,
-            ran: after.count(),
-            over: (0..=WITHIN_LIMIT).map(|account| self.peak_window(account)).fold(0.0, f64::max),
-            used: if no_fault {
+            late_ms: late.max().unwrap_or_default() as u64,
+            ran_revoked: after.count(),
+            window_peak: (0..=WITHIN_LIMIT)
+                .map(|account| self.peak_window(account))
+                .fold(0.0, f64::max),
+            used_share: if no_fault {
                 used_share(OVER_LIMIT).min(used_share(ONE_GATEWAY)).min(1.0)
             } else {
                 1.0
             },
-            served: if no_fault { served.min(1.0) } else { 1.0 },
+            served_share: if no_fault { served.min(1.0) } else { 1.0 },
             bytes: (sent.clone().sum::<f64>() / self.hosts.len() as f64, sent.fold(0.0, f64::max)),
         }
     }
@@ -808,7 +810,7 @@
 
     /// Largest use of any window by requests that were sent and ran in it, as a share of what is tolerated.
     fn peak_window(&self, account: usize) -> f64 {
-        let no_fault = self.spec.trouble() == Fault::None;
+        let no_fault = self.spec.fault() == Fault::None;
         let lowered_in_force = START.after(LOWERED_AT).after(LOWERED_GRACE);
         let tolerated = |start: Timestamp| {
             let lower = no_fault && account == LOWERED_LIMIT && start >= lowered_in_force;
--- a/crates/check/src/answers.rs
+++ b/crates/check/src/answers.rs
@@ -40,32 +40,35 @@
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
     /// Servers that each crashing request crashed.
-    pub ended: Vec<usize>,
+    pub crashes: Vec<usize>,
     /// Times that each crashing request was sent later than allowed.
-    pub late: Vec<usize>,
+    pub late_sends: Vec<usize>,
     /// Other requests, which crash no server.
-    pub others: usize,
+    pub other_requests: usize,
     /// Other requests that were refused as confirmed to crash servers.
     pub refused: usize,
     /// Most quarantine rows that a gateway held: suspects and confirmed requests.
-    pub rows: usize,
+    pub rows_max: usize,
     /// Most bytes of gossip that one gateway sent in a second.
-    pub worst: usize,
+    pub worst_second: usize,
     /// Longest time from when a gateway learned from a server that it leaves to a send there, in milliseconds.
-    pub leaving: u64,
+    pub leaving_ms: u64,
     /// Most sends of one gateway to a server that had asked it to back off.
-    pub paused: usize,
+    pub backoff_sends: usize,
     /// Restarted servers that were up for long and were sent nothing.
     pub unused: usize,
 }
 
 impl Tally {
     /// The first guarantee that was violated.
-    pub fn broken(&self, seed: u64) -> Option<String> {
-        let late = self.late.iter().max().copied().unwrap_or_default();
-        let ended = self.ended.iter().max().copied().unwrap_or_default();
-        let refused_max =
-            if has_unrelated_crashes(seed) { REFUSED_MAX * self.others as f64 } else { 0.0 };
+    pub fn violation(&self, seed: u64) -> Option<String> {
+        let late = self.late_sends.iter().max().copied().unwrap_or_default();
+        let ended = self.crashes.iter().max().copied().unwrap_or_default();
+        let refused_max = if has_unrelated_crashes(seed) {
+            REFUSED_MAX * self.other_requests as f64
+        } else {
+            0.0
+        };
         let leaving_max = LEAVING_BOUND.as_millis() as u64;
         let checks = [
             (
@@ -78,15 +81,15 @@
                 format!("{} requests that crash no server were refused", self.refused),
             ),
             (
-                self.leaving > leaving_max,
+                self.leaving_ms > leaving_max,
                 format!(
                     "a server was sent a request {} ms after it announced its departure",
-                    self.leaving
+                    self.leaving_ms
                 ),
             ),
             (
-                self.paused > 2,
-                format!("{} sends to a server that had asked to back off", self.paused),
+                self.backoff_sends > 2,
+                format!("{} sends to a server that had asked to back off", self.backoff_sends),
             ),
             (self.unused > 0, format!("{} restarted servers were never used", self.unused)),
         ];
--- a/crates/check/src/answers/simulation.rs
+++ b/crates/check/src/answers/simulation.rs
@@ -293,8 +293,8 @@
             let reached = self.reached.remove(&digest).unwrap_or_default();
             let bound = crashes.get(2).map(|third| third.after(CONFIRM_BOUND));
             let late = bound.map_or(0, |bound| reached.iter().filter(|at| **at > bound).count());
-            self.tally.ended.push(crashes.len());
-            self.tally.late.push(late);
+            self.tally.crashes.push(crashes.len());
+            self.tally.late_sends.push(late);
         }
         let now = self.queue.now();
         let unused =
@@ -303,7 +303,7 @@
         if self.backends.len() <= SERVERS_MIN * 2 {
             self.tally.unused = self.backends.iter().filter(unused).count();
         }
-        self.tally.worst = self.bytes.values().max().copied().unwrap_or_default();
+        self.tally.worst_second = self.bytes.values().max().copied().unwrap_or_default();
         self.tally
     }
 
@@ -361,7 +361,7 @@
     fn on_request(&mut self, mut request: Request) {
         let now = self.queue.now();
         if request.tries == 0 && request.first_sent == Timestamp::default() {
-            self.tally.others += usize::from(!request.crashes_servers);
+            self.tally.other_requests += usize::from(!request.crashes_servers);
             request.first_sent = now;
         }
         let gateway = self.any_gateway();
@@ -466,7 +466,7 @@
         if leaving {
             let learned_at = *self.leaving_learned.entry(key.clone()).or_insert(now);
             let late = now.since(learned_at).as_millis() as u64;
-            self.tally.leaving = self.tally.leaving.max(late);
+            self.tally.leaving_ms = self.tally.leaving_ms.max(late);
             let registration = self.backends[server].server.clone();
             if self.gateways[gateway].on_leaving(&registration) {
                 self.publish_leaving(gateway, &attempt.id);
@@ -476,7 +476,7 @@
             let backoff = self.backoffs.entry(key).or_insert((now, backoff_until, 0));
             if now > backoff.0.after(ms(500)) && now < backoff.1 {
                 backoff.2 += 1;
-                self.tally.paused = self.tally.paused.max(backoff.2);
+                self.tally.backoff_sends = self.tally.backoff_sends.max(backoff.2);
             }
             self.gateways[gateway].on_backoff(now, &attempt.id, backoff_until.since(now));
             self.attempts.remove(&n);
@@ -776,7 +776,7 @@
             gateway.registry.on_leaving(id);
         }
         let (suspects, confirmed) = gateway.quarantine.counts();
-        self.tally.rows = self.tally.rows.max(suspects + confirmed);
+        self.tally.rows_max = self.tally.rows_max.max(suspects + confirmed);
     }
 
     /// Each gateway sends some peers the checksum of its quarantine; peers that differ for long exchange tables.
--- a/crates/check/tests/accounts.rs
+++ b/crates/check/tests/accounts.rs
@@ -6,7 +6,7 @@
 const SEEDS: u64 = 20;
 
 fn violation(gateways: usize, seed: u64, mutant: Option<Mutant>) -> Option<String> {
-    run(AccountsSpec { gateways, accounts: 16, seed, mutant }).broken()
+    run(AccountsSpec { gateways, accounts: 16, seed, mutant }).violation()
 }
 
 #[test]
--- a/crates/check/tests/answers.rs
+++ b/crates/check/tests/answers.rs
@@ -11,7 +11,7 @@
     seed: u64,
     mutant: Option<ebonyloft_check::answers::Mutant>,
 ) -> Option<String> {
-    run(AnswersSpec { gateways, seed, mutant }).broken(seed)
+    run(AnswersSpec { gateways, seed, mutant }).violation(seed)
 }
 
 #[test]
