--- a/crates/daemon/src/entry/actor.rs
+++ b/crates/daemon/src/entry/actor.rs
@@ -17,8 +17,8 @@
 use super::pool_views::PoolViews;
 use super::{DRAIN_NOTICE, Event, SharedState};
 use crate::clock::Clock;
-use crate::control::{ControlMessage, ControlSender, News};
-use crate::link::{Identity, LinkEvent, LinkSender, Sink};
+use crate::control::{ControlMessage, ControlSender, ControlUpdate};
+use crate::link::{EventSink, Identity, LinkEvent, LinkSender};
 use crate::metrics::Metrics;
 use crate::settings::EntrySettings;
 
@@ -87,7 +87,7 @@
         settings: &EntrySettings,
         me: Rc<Identity>,
         control: ControlSender,
-        sink: Sink,
+        sink: EventSink,
         shared: Rc<RefCell<SharedState>>,
         clock: Clock,
         metrics: Metrics,
@@ -163,7 +163,7 @@
         match event {
             LinkEvent::Up { link, peer, sender, .. } => {
                 if self.dialer.on_frame_received(now, link) {
-                    let _ = self.control.unbounded_send(ControlMessage::Contact(peer.clone()));
+                    let _ = self.control.unbounded_send(ControlMessage::PeerSeen(peer.clone()));
                     let lost = self.dialer.on_up(now, link, peer, sender);
                     self.on_lost_calls(now, lost);
                 } else {
@@ -175,7 +175,7 @@
                 let lost = self.dialer.on_down(now, link);
                 self.on_lost_calls(now, lost);
             }
-            LinkEvent::Failed { link, error } => {
+            LinkEvent::DialFailed { link, error } => {
                 tracing::debug!(%error, "failed to connect to a sidecar");
                 let lost = self.dialer.on_down(now, link);
                 self.on_lost_calls(now, lost);
@@ -211,7 +211,7 @@
             return;
         }
         let (reply, answer) = futures_channel::oneshot::channel();
-        let _ = self.control.unbounded_send(ControlMessage::Ask { body, reply });
+        let _ = self.control.unbounded_send(ControlMessage::Request { body, reply });
         compio::runtime::spawn(async move {
             if let Ok(body) = answer.await {
                 sender.send(&Frame::Control { id, body });
@@ -256,9 +256,9 @@
         }
     }
 
-    fn on_update(&mut self, update: News) {
+    fn on_update(&mut self, update: ControlUpdate) {
         match update {
-            News::Members(members) => {
+            ControlUpdate::Members(members) => {
                 let live_entry = |c: &&ebonyloft_core::members::MemberRecord| {
                     c.role == Role::Entry && c.usable()
                 };
@@ -266,14 +266,14 @@
                 self.metrics.gauge("control.members", members.len() as u64);
                 self.views.set_members(members);
             }
-            News::Config { revision, doc } => {
+            ControlUpdate::Config { revision, doc } => {
                 let mut shared = self.shared.borrow_mut();
                 shared.revision = revision;
                 shared.doc = doc.clone();
                 self.metrics.gauge("control.revision", revision);
                 self.views.set_doc(doc);
             }
-            News::Placement(placement) => {
+            ControlUpdate::Placement(placement) => {
                 self.shared.borrow_mut().epoch = placement.epoch;
                 self.metrics.gauge("control.epoch", placement.epoch);
                 return self.views.set_placement(placement);
--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -48,7 +48,7 @@
 use self::digest::Digester;
 use self::shared::Shared;
 use crate::clock::Clock;
-use crate::metrics::{Metrics, Registry};
+use crate::metrics::{Metrics, MetricsRegistry};
 use crate::{http, logs};
 
 /// Shortest time between the stop signal and the exit: the platform notices after two readiness
@@ -83,7 +83,7 @@
     hup: impl Future<Output = ()> + 'static,
 ) -> io::Result<()> {
     let clock = Clock::default();
-    let (metrics, registry) = Metrics::kept(&node.name);
+    let (metrics, registry) = Metrics::in_memory(&node.name);
     let rng = ChaCha8Rng::from_os_rng();
     let digester = Digester::new(options.digest_key.as_bytes());
     let shared = Shared::new(node, clock, rng, metrics, digester);
@@ -112,7 +112,7 @@
     shared: &Rc<Shared>,
     node: &Node,
     options: &Options,
-    registry: Registry,
+    registry: MetricsRegistry,
     closing: ingress::Closing,
     hup: impl Future<Output = ()> + 'static,
 ) -> io::Result<()> {
@@ -156,11 +156,11 @@
 
 async fn readiness(shared: Rc<Shared>, _req: Request<Incoming>) -> Response<http::Body> {
     let status = if shared.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-    http::response(status, "text/plain", http::full(""))
+    http::response(status, "text/plain", http::full_body(""))
 }
 
-async fn metrics_page(registry: Registry) -> Response<http::Body> {
-    http::response(StatusCode::OK, "text/plain", http::full(registry.page()))
+async fn metrics_page(registry: MetricsRegistry) -> Response<http::Body> {
+    http::response(StatusCode::OK, "text/plain", http::full_body(registry.render()))
 }
 
 /// Periodic upkeep: settles the server registry, drops the state of servers that are gone, closes
@@ -202,7 +202,7 @@
             shared.traffic_stats.borrow_mut().retain(has_route, has_service);
             shared.admission_queues.borrow_mut().retain(|name, _| has_service(name));
         }
-        let dropped = logs::dropped();
+        let dropped = logs::dropped_lines();
         if dropped > logged {
             tracing::warn!(lines = dropped - logged, "log lines dropped: too many in one second");
             logged = dropped;
--- a/crates/daemon/src/gateway/gossip.rs
+++ b/crates/daemon/src/gateway/gossip.rs
@@ -142,13 +142,13 @@
 
 /// Answers a peer's exchange: applies its state and returns this gateway's.
 pub async fn handle_exchange(shared: Rc<Shared>, req: Request<Incoming>) -> Response<http::Body> {
-    let refuse = |status| http::response(status, "text/plain", http::full(""));
+    let refuse = |status| http::response(status, "text/plain", http::full_body(""));
     let Some(body) = http::read_body(req.into_body(), BODY_MAX).await else {
         return refuse(StatusCode::BAD_REQUEST);
     };
     apply_encoded(&shared, &body, "peer");
     match encode(&shared) {
-        Some(bytes) => http::response(StatusCode::OK, "application/cbor", http::full(bytes)),
+        Some(bytes) => http::response(StatusCode::OK, "application/cbor", http::full_body(bytes)),
         None => refuse(StatusCode::INTERNAL_SERVER_ERROR),
     }
 }
--- a/crates/daemon/src/gateway/ingress.rs
+++ b/crates/daemon/src/gateway/ingress.rs
@@ -66,7 +66,7 @@
             }
             Err(e) => {
                 tracing::warn!(error = %e, "cannot accept a connection");
-                compio::time::sleep(http::ACCEPT_PAUSE).await;
+                compio::time::sleep(http::ACCEPT_RETRY_DELAY).await;
             }
         }
     }
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -270,6 +270,6 @@
     match path {
         gossip::PATH => gossip::handle_exchange(shared, req).await,
         state_sync::PATH => state_sync::handle_request(&shared, req.uri().query()),
-        _ => http::response(StatusCode::NOT_FOUND, "text/plain", http::full("not here\n")),
+        _ => http::response(StatusCode::NOT_FOUND, "text/plain", http::full_body("not here\n")),
     }
 }
--- a/crates/daemon/src/gateway/state_sync.rs
+++ b/crates/daemon/src/gateway/state_sync.rs
@@ -159,7 +159,11 @@
 /// Answers a peer's request for everything newer than the versions in the query.
 pub fn handle_request(shared: &Shared, query: Option<&str>) -> Response<http::Body> {
     let Some(theirs) = query.and_then(parse_versions) else {
-        return http::response(StatusCode::BAD_REQUEST, "text/plain", http::full("no versions\n"));
+        return http::response(
+            StatusCode::BAD_REQUEST,
+            "text/plain",
+            http::full_body("no versions\n"),
+        );
     };
     let mut update = build_update(shared, theirs);
     let mut upload = None;
@@ -181,13 +185,13 @@
     shared.metrics.count(counter, bytes.len() as u64);
     let body = match upload {
         Some(upload) => upload.body(bytes.into()),
-        None => http::full(bytes),
+        None => http::full_body(bytes),
     };
     http::response(StatusCode::OK, "application/cbor", body)
 }
 
 fn service_unavailable(why: &'static str) -> Response<http::Body> {
-    http::response(StatusCode::SERVICE_UNAVAILABLE, "text/plain", http::full(why))
+    http::response(StatusCode::SERVICE_UNAVAILABLE, "text/plain", http::full_body(why))
 }
 
 fn parse_versions(query: &str) -> Option<Versions> {
--- a/crates/daemon/src/gateway/stream/incoming.rs
+++ b/crates/daemon/src/gateway/stream/incoming.rs
@@ -53,9 +53,9 @@
         // Dropping the sender ends the task that tracks the reservation.
         let known = id.and_then(|id| shared.incoming.borrow_mut().open.remove(&id));
         let status = if known.is_some() { StatusCode::OK } else { StatusCode::NOT_FOUND };
-        return http::response(status, "text/plain", http::full(""));
+        return http::response(status, "text/plain", http::full_body(""));
     }
-    let refused = |status| http::response(status, "text/plain", http::full(""));
+    let refused = |status| http::response(status, "text/plain", http::full_body(""));
     let Ok(body) = body.collect().await else {
         return refused(StatusCode::BAD_REQUEST);
     };
@@ -70,7 +70,7 @@
     };
     let mut bytes = Vec::new();
     match ciborium::into_writer(&grant, &mut bytes) {
-        Ok(()) => http::response(StatusCode::OK, "application/cbor", http::full(bytes)),
+        Ok(()) => http::response(StatusCode::OK, "application/cbor", http::full_body(bytes)),
         Err(e) => {
             tracing::error!(error = %e, "can't encode grant");
             refused(StatusCode::INTERNAL_SERVER_ERROR)
--- a/crates/daemon/src/gateway/uploads.rs
+++ b/crates/daemon/src/gateway/uploads.rs
@@ -63,6 +63,6 @@
             let chunk = rest.split_to(rest.len().min(CHUNK));
             (!chunk.is_empty()).then_some((chunk, (upload, rest)))
         });
-        http::streamed(chunks)
+        http::streaming_body(chunks)
     }
 }
--- a/crates/standins/src/fleet/life.rs
+++ b/crates/standins/src/fleet/life.rs
@@ -39,7 +39,7 @@
     while let Ok((stream, _)) = listener.accept().await {
         // Nothing breaks without it.
         let _ = stream.set_nodelay(true);
-        let task = compio::runtime::spawn(http::connection(stream, handler.clone()));
+        let task = compio::runtime::spawn(http::serve_connection(stream, handler.clone()));
         let mut open = open.borrow_mut();
         open.retain(|task| !task.is_finished());
         open.push(task);
--- a/crates/standins/src/fleet/peer.rs
+++ b/crates/standins/src/fleet/peer.rs
@@ -104,7 +104,7 @@
         let parts = req.uri().query().unwrap_or_default().split('.');
         let asked: Vec<u64> = parts.filter_map(|part| part.parse().ok()).collect();
         let [config, roster, _] = asked[..] else {
-            return http::response(StatusCode::NOT_FOUND, "text/plain", http::full(""));
+            return http::response(StatusCode::NOT_FOUND, "text/plain", http::full_body(""));
         };
         let known = self.known.borrow();
         let news = || RegistryUpdate::Changes(known.changes.clone());
--- a/crates/standins/src/fleet/slow.rs
+++ b/crates/standins/src/fleet/slow.rs
@@ -22,5 +22,5 @@
         }
     })
     .detach();
-    http::streamed(parts)
+    http::streaming_body(parts)
 }
--- a/crates/standins/src/fleet/store.rs
+++ b/crates/standins/src/fleet/store.rs
@@ -303,7 +303,7 @@
 }
 
 fn answer(status: u16, body: Vec<u8>) -> Response<Body> {
-    respond(status, http::full(body))
+    respond(status, http::full_body(body))
 }
 
 fn respond(status: u16, body: Body) -> Response<Body> {
