--- a/crates/daemon/src/entry/actor.rs
+++ b/crates/daemon/src/entry/actor.rs
@@ -444,7 +444,7 @@
     !matches!(answer, Answer::Admitted { .. } | Answer::Chunk { .. })
 }
 
-impl crate::desk::Desk for EntryActor {
+impl crate::desk::EventHandler for EntryActor {
     type Event = Event;
 
     fn on_event(&mut self, event: Event) {
@@ -455,7 +455,7 @@
         self.run_timers();
     }
 
-    fn leave(&mut self) {
+    fn start_draining(&mut self) {
         self.begin_drain();
     }
 
@@ -463,7 +463,7 @@
         self.draining
     }
 
-    fn idle(&self) -> bool {
+    fn is_idle(&self) -> bool {
         self.requests.is_empty() && self.clock.now() >= self.accept_until
     }
 }
