--- a/crates/daemon/src/entry/actor.rs
+++ b/crates/daemon/src/entry/actor.rs
@@ -444,7 +444,7 @@
     !matches!(answer, Answer::Admitted { .. } | Answer::Chunk { .. })
 }
 
-impl crate::desk::EventHandler for EntryActor {
+impl crate::event_loop::EventHandler for EntryActor {
     type Event = Event;
 
     fn on_event(&mut self, event: Event) {
