--- a/crates/standins/tests/accounts.rs
+++ b/crates/standins/tests/accounts.rs
@@ -1,4 +1,4 @@
-//! Client accounts on real sockets: keys, keys that were taken away, quotas.
+//! Client accounts over real sockets: keys, revocation, quotas.
 
 use std::time::{Duration, Instant};
 
@@ -12,7 +12,8 @@
 use hyper::Request;
 use hyper::header::HeaderValue;
 
-const REVOKE: Duration = Duration::from_millis(3_000);
+/// Time after which a revoked key must run nothing.
+const REVOKE_BOUND: Duration = Duration::from_millis(3_000);
 const SECOND: Duration = Duration::from_secs(1);
 
 fn account(name: &str, keys: &[&str], quota: Option<(u64, u64)>) -> ServedAccount {
@@ -21,11 +22,11 @@
 }
 
 fn spec(gateways: usize, accounts: Vec<ServedAccount>) -> FleetSpec {
-    let (accounts, revoke) = (Some(accounts), Some(REVOKE));
+    let (accounts, revoke) = (Some(accounts), Some(REVOKE_BOUND));
     FleetSpec { gateways, accounts, revoke, ..FleetSpec::default() }
 }
 
-fn two_keys(gateways: usize) -> FleetSpec {
+fn two_accounts(gateways: usize) -> FleetSpec {
     spec(gateways, vec![account("one", &["k1", "k2"], None), account("two", &["k3"], None)])
 }
 
@@ -38,49 +39,50 @@
     status(&caller.call(CHECK, attempt).await.expect("an answer"))
 }
 
-/// Accounts that backend servers were told for an attempt.
-fn told(fleet: &Fleet, attempt: &str) -> Vec<String> {
+/// Account headers that backend servers received for an attempt.
+fn accounts_seen(fleet: &Fleet, attempt: &str) -> Vec<String> {
     let mut seen =
         fleet.runners.iter().filter_map(|r| r.seen.borrow().accounts.get(attempt).cloned());
     seen.next_back().unwrap_or_default()
 }
 
-fn shown_keys(fleet: &Fleet) -> u64 {
+/// Requests in which a backend server saw a key.
+fn leaked_keys(fleet: &Fleet) -> u64 {
     fleet.runners.iter().map(|r| r.seen.borrow().keyed).sum()
 }
 
 #[test]
-fn a_backend_server_is_told_the_account_and_never_the_key() {
-    with_fleet(two_keys(1), async |fleet| {
+fn a_backend_server_receives_the_account_and_never_the_key() {
+    with_fleet(two_accounts(1), async |fleet| {
         let caller = fleet.caller(0).key("k1");
         assert_eq!(status(&caller.call(CHECK, "c1").await.expect("an answer")), 200);
         assert_eq!(status(&caller.summary(SUMMARY, "s1").await.expect("an answer")), 200);
         assert_eq!(call(fleet, 0, "k3", "c2").await, 200);
-        assert_eq!(told(fleet, "c1"), ["one"]);
-        assert_eq!(told(fleet, "s1"), ["one"]);
-        assert_eq!(told(fleet, "c2"), ["two"]);
-        assert_eq!(shown_keys(fleet), 0);
+        assert_eq!(accounts_seen(fleet, "c1"), ["one"]);
+        assert_eq!(accounts_seen(fleet, "s1"), ["one"]);
+        assert_eq!(accounts_seen(fleet, "c2"), ["two"]);
+        assert_eq!(leaked_keys(fleet), 0);
     });
 }
 
 #[test]
-fn an_account_that_a_caller_names_is_not_believed() {
-    with_fleet(two_keys(1), async |fleet| {
+fn an_account_header_from_a_caller_is_ignored() {
+    with_fleet(two_accounts(1), async |fleet| {
         let caller = fleet.caller(0).key("k1");
         let mut req = caller.summary_request(SUMMARY, "s1");
         req.headers_mut().append("tenant", HeaderValue::from_static("two"));
         req.headers_mut().append("TENANT", HeaderValue::from_static("three"));
         assert_eq!(status(&caller.send(req).await.expect("an answer")), 200);
-        assert_eq!(told(fleet, "s1"), ["one"]);
+        assert_eq!(accounts_seen(fleet, "s1"), ["one"]);
         let caller = fleet.caller(0);
         let mut req = check_request(&caller, OPEN, "o1");
         req.headers_mut().append("tenant", HeaderValue::from_static("two"));
         assert_eq!(status(&caller.send(req).await.expect("an answer")), 200);
-        assert!(told(fleet, "o1").is_empty());
+        assert!(accounts_seen(fleet, "o1").is_empty());
     });
 }
 
-/// A short call without the headers of a key.
+/// A short call without a key.
 fn check_request(
     caller: &ebonyloft_standins::fleet::caller::Caller,
     path: &str,
@@ -92,8 +94,8 @@
 }
 
 #[test]
-fn no_key_a_wrong_one_or_two_are_refused_at_once_and_run_nothing() {
-    with_fleet(two_keys(1), async |fleet| {
+fn missing_wrong_and_duplicate_keys_are_refused_and_run_nothing() {
+    with_fleet(two_accounts(1), async |fleet| {
         let plain = fleet.caller(0);
         assert_eq!(status(&plain.call(CHECK, "c1").await.expect("an answer")), 401);
         assert_eq!(call(fleet, 0, "k9", "c2").await, 401);
@@ -118,18 +120,18 @@
 
 #[test]
 fn a_public_route_needs_no_key() {
-    with_fleet(two_keys(1), async |fleet| {
+    with_fleet(two_accounts(1), async |fleet| {
         assert_eq!(status(&fleet.caller(0).call(OPEN, "o1").await.expect("an answer")), 200);
-        let wrong = fleet.caller(0).key("k9");
-        assert_eq!(status(&wrong.call(OPEN, "o2").await.expect("an answer")), 200);
-        assert_eq!(shown_keys(fleet), 0);
-        assert!(told(fleet, "o2").is_empty());
+        let unknown_key = fleet.caller(0).key("k9");
+        assert_eq!(status(&unknown_key.call(OPEN, "o2").await.expect("an answer")), 200);
+        assert_eq!(leaked_keys(fleet), 0);
+        assert!(accounts_seen(fleet, "o2").is_empty());
     });
 }
 
 #[test]
-fn a_key_that_was_taken_away_runs_nothing_and_a_new_one_does() {
-    with_fleet(two_keys(2), async |fleet| {
+fn a_revoked_key_is_refused_and_a_new_one_accepted() {
+    with_fleet(two_accounts(2), async |fleet| {
         assert_eq!(call(fleet, 0, "k1", "c1").await, 200);
         fleet.set_accounts(2, &[account("one", &["k2", "k4"], None)]);
         compio::time::sleep(SECOND).await;
@@ -141,33 +143,33 @@
     });
 }
 
-/// Nobody hears the store: a key that was taken away meanwhile must not run anything behind its bound.
+/// A key that is revoked while the gateways are cut off from the store must run nothing after the bound.
 #[test]
-fn a_gateway_that_hears_nothing_runs_nothing_with_a_key_behind_the_bound() {
+fn a_gateway_cut_off_from_the_store_accepts_no_key_after_the_bound() {
     for fault in [Fault::Silent, Fault::Busy] {
-        with_fleet(two_keys(2), async |fleet| {
+        with_fleet(two_accounts(2), async |fleet| {
             assert_eq!(call(fleet, 0, "k1", "c0").await, 200);
             fleet.store.set_fault(fault);
-            let cut = Instant::now();
+            let cut_at = Instant::now();
             fleet.set_accounts(2, &[account("one", &["k2"], None)]);
             let mut last = None;
             for n in 1.. {
-                let begun = Instant::now();
+                let start = Instant::now();
                 let attempt = format!("c{n}");
                 let status = call(fleet, n % 2, "k1", &attempt).await;
                 if fleet.runs(&attempt) > 0 {
-                    last = Some(begun - cut);
+                    last = Some(start - cut_at);
                 } else {
                     assert!(matches!(status, 503 | 401), "{status}");
                 }
-                if cut.elapsed() > REVOKE + SECOND {
+                if cut_at.elapsed() > REVOKE_BOUND + SECOND {
                     break;
                 }
                 compio::time::sleep(Duration::from_millis(40)).await;
             }
-            assert!(last.is_none_or(|at| at < REVOKE), "ran {last:?} behind the change");
-            let open = fleet.caller(0).call(OPEN, "o1").await.expect("an answer");
-            assert_eq!(open.status, 200);
+            assert!(last.is_none_or(|at| at < REVOKE_BOUND), "ran {last:?} after the revocation");
+            let public = fleet.caller(0).call(OPEN, "o1").await.expect("an answer");
+            assert_eq!(public.status, 200);
             assert_eq!(call(fleet, 0, "k2", "c-late").await, 503);
             fleet.store.set_fault(Fault::None);
             compio::time::sleep(SECOND).await;
@@ -177,14 +179,14 @@
     }
 }
 
-/// Requests of an account at these gateways at once, for so long; counts what ran.
-async fn press(
+/// Sends calls with a key, one loop for each listed gateway; returns how many ran, and the refusals.
+async fn send_for(
     fleet: &Fleet,
     gateways: &[usize],
     key: &str,
-    time: Duration,
+    duration: Duration,
 ) -> (usize, Vec<Answer>) {
-    let end = Instant::now() + time;
+    let until = Instant::now() + duration;
     let tasks: Vec<_> = gateways
         .iter()
         .enumerate()
@@ -194,7 +196,7 @@
                 let mut refused = Vec::new();
                 let mut ran = 0;
                 for n in 0.. {
-                    if Instant::now() > end {
+                    if Instant::now() > until {
                         break;
                     }
                     let attempt = format!("p-{i}-{n}");
@@ -211,28 +213,29 @@
         .collect();
     let (mut ran, mut refused) = (0, Vec::new());
     for task in tasks {
-        let (r, f) = task.await.expect("the caller's task");
-        ran += r;
-        refused.extend(f);
+        let (ran_here, refused_here) = task.await.expect("the caller's task");
+        ran += ran_here;
+        refused.extend(refused_here);
     }
     (ran, refused)
 }
 
 #[test]
 fn a_quota_holds_over_all_gateways_and_all_of_it_can_be_used() {
-    // Forty short calls a second, and as many at once.
+    // Forty short calls a second, with a burst of forty.
     let accounts = vec![account("one", &["k1"], Some((8_000, 8_000)))];
     with_fleet(spec(4, accounts), async |fleet| {
-        // A home begins with nothing; it takes a second until its account has its burst.
+        // A quota owner starts with an empty bucket, which takes a second to fill up to the burst.
         compio::time::sleep(2 * SECOND).await;
-        let (ran, refused) = press(fleet, &[0, 1, 2, 3], "k1", 3 * SECOND).await;
+        let (ran, refused) = send_for(fleet, &[0, 1, 2, 3], "k1", 3 * SECOND).await;
         assert!((157..=162).contains(&ran), "{ran} ran");
         assert!(!refused.is_empty());
         for answer in &refused {
             assert_eq!(answer.status, 429);
             assert!(answer.took < Duration::from_millis(100), "{:?}", answer.took);
-            let wait: f64 = answer.header("retry-after").expect("a time").parse().expect("seconds");
-            assert!(wait > 0.0);
+            let retry_after: f64 =
+                answer.header("retry-after").expect("a time").parse().expect("seconds");
+            assert!(retry_after > 0.0);
         }
     });
 }
@@ -241,31 +244,31 @@
 fn one_gateway_can_use_all_of_a_quota() {
     let accounts = vec![account("one", &["k1"], Some((8_000, 8_000)))];
     with_fleet(spec(4, accounts), async |fleet| {
-        // A home begins with nothing; it takes a second until its account has its burst.
+        // A quota owner starts with an empty bucket, which takes a second to fill up to the burst.
         compio::time::sleep(2 * SECOND).await;
-        let (ran, _) = press(fleet, &[2, 2, 2, 2], "k1", 3 * SECOND).await;
+        let (ran, _) = send_for(fleet, &[2, 2, 2, 2], "k1", 3 * SECOND).await;
         assert!((157..=162).contains(&ran), "{ran} ran");
     });
 }
 
 #[test]
-fn a_lowered_quota_binds_and_a_raised_one_is_there() {
+fn a_lowered_and_a_raised_quota_take_effect() {
     let rate = |rate| vec![account("one", &["k1"], Some((rate, rate)))];
     with_fleet(spec(2, rate(40_000)), async |fleet| {
         compio::time::sleep(SECOND).await;
         fleet.set_accounts(2, &rate(2_000));
         compio::time::sleep(SECOND).await;
-        let (ran, _) = press(fleet, &[0, 1], "k1", 2 * SECOND).await;
+        let (ran, _) = send_for(fleet, &[0, 1], "k1", 2 * SECOND).await;
         assert!((25..=36).contains(&ran), "{ran} ran");
         fleet.set_accounts(3, &rate(40_000));
         compio::time::sleep(SECOND).await;
-        let (ran, _) = press(fleet, &[0, 1], "k1", SECOND).await;
+        let (ran, _) = send_for(fleet, &[0, 1], "k1", SECOND).await;
         assert!(ran > 50, "{ran} ran");
     });
 }
 
 #[test]
-fn what_did_not_run_gives_back_what_it_took() {
+fn a_request_that_did_not_run_is_not_charged() {
     let accounts = vec![account("one", &["k1"], Some((200, 2_000)))];
     with_fleet(FleetSpec { plain: 1, ..spec(1, accounts) }, async |fleet| {
         compio::time::sleep(10 * SECOND).await;
@@ -282,7 +285,7 @@
 }
 
 #[test]
-fn a_size_that_cannot_be_believed_is_refused() {
+fn an_invalid_token_count_is_refused() {
     let accounts = vec![account("one", &["k1"], Some((1_000_000, 1_000_000)))];
     with_fleet(spec(1, accounts), async |fleet| {
         let caller = fleet.caller(0).key("k1");
@@ -297,13 +300,13 @@
     });
 }
 
-/// The account's home is lost: others lend in its place soon, and no second burst.
+/// After the loss of a quota's owner others soon grant tokens in its place, without a second burst.
 #[test]
-fn a_lost_home_is_replaced() {
+fn a_lost_quota_owner_is_replaced() {
     let accounts = vec![account("one", &["k1"], Some((8_000, 8_000)))];
     with_fleet(spec(4, accounts), async |fleet| {
         compio::time::sleep(SECOND).await;
-        // The one that ranks first for the account is not known here: each of three is lost in turn.
+        // The test does not know which gateway owns the quota, so it stops three of the four.
         assert_eq!(call(fleet, 3, "k1", "c0").await, 200);
         for gateway in 0..3 {
             fleet.stop(gateway);
--- a/crates/standins/tests/answers.rs
+++ b/crates/standins/tests/answers.rs
@@ -1,4 +1,4 @@
-//! What backend servers say with their answers beside the status: that they leave, that they want nothing.
+//! Response headers of backend servers: the announcement that a server is leaving, and back-off times.
 
 use std::time::{Duration, Instant};
 
@@ -7,11 +7,11 @@
     CHECK, Fleet, FleetSpec, LOOKUP, ONCE_SUMMARY, SUMMARY, store, with_fleet,
 };
 
-/// Within which a server that said that it leaves must be sent nothing more.
-const BOUND: Duration = Duration::from_secs(2);
+/// Time after which a server that announced that it is leaving must receive no more requests.
+const LEAVING_BOUND: Duration = Duration::from_secs(2);
 
-/// Sends requests of all kinds through all gateways.
-async fn requests(fleet: &Fleet, name: &str, count: usize) {
+/// Sends `count` requests of each kind through each gateway.
+async fn send_all_kinds(fleet: &Fleet, name: &str, count: usize) {
     for n in 0..count {
         for gateway in 0..fleet.gateways.len() {
             let caller = fleet.caller(gateway);
@@ -25,91 +25,94 @@
     }
 }
 
-/// Requests, prompts and reservations that a server took later than a moment.
-fn taken_later(fleet: &Fleet, runner: usize, than: Instant) -> usize {
-    let seen = fleet.runners[runner].seen.borrow();
-    seen.taken.iter().filter(|at| **at > than).count()
+/// Requests, prompts and reservations that a server received after the given time.
+fn taken_after(fleet: &Fleet, backend: usize, after: Instant) -> usize {
+    let seen = fleet.runners[backend].seen.borrow();
+    seen.taken.iter().filter(|at| **at > after).count()
 }
 
-/// What operators saw: a backend server was sent calls 2.1 s after an answer of its own had said that it
-/// leaves, by the gateway that had passed that answer on. Both calls ran; the next ones would have been cut.
+/// Guards against a gateway that ignores the announcement in a response and goes by its server registry alone.
 ///
-/// Order of events: the store fell silent to everybody; a server reported to it that it leaves, which was
-/// acknowledged twelve seconds later; meanwhile it said so with each answer; the gateway passed these on and
-/// went by its list. Cause: of an answer's head only what concerns the request was read; the only word of
-/// leaving that counted was the store's.
-///
-/// Evidence: in the record of a played day the gateway's list was 4.6 s old, at one revision throughout, and
-/// named the server as ready; the calls were in the gateway for 6 ms.
+/// The store was silent and acknowledged the server's own announcement only after 12 s. The gateway's registry,
+/// 4.6 s old, still listed the server as ready, and the gateway sent it calls 2.1 s after passing on a response
+/// that announced the leaving. Both calls ran; later ones would have been cut off.
 #[test]
-fn a_server_whose_answer_says_that_it_leaves_is_sent_nothing_more() {
+fn a_server_that_announces_leaving_in_a_response_gets_no_more_requests() {
     let spec = FleetSpec { gateways: 1, readers: 2, writers: 3, plain: 3, ..FleetSpec::default() };
     with_fleet(spec, async |fleet| {
         fleet.store.set_fault(store::Fault::Silent);
-        // A reader, a writer and a plain server.
+        // A prefill engine, a decode engine and a plain server.
         let leaving = [0, 2, 5];
         leaving.iter().for_each(|n| fleet.runners[*n].say_leaving());
-        requests(fleet, "before", 6).await;
-        let heard = Instant::now();
-        compio::time::sleep(BOUND).await;
-        requests(fleet, "after", 6).await;
+        send_all_kinds(fleet, "before", 6).await;
+        let announced_at = Instant::now();
+        compio::time::sleep(LEAVING_BOUND).await;
+        send_all_kinds(fleet, "after", 6).await;
         for n in leaving {
-            assert_eq!(taken_later(fleet, n, heard), 0, "server {n} was sent something");
+            assert_eq!(taken_after(fleet, n, announced_at), 0, "server {n} received requests");
         }
     });
 }
 
-/// Any answer counts, also one to a reservation only.
+/// The announcement counts in any response, also in one to a reservation.
 #[test]
-fn an_engine_that_says_so_with_a_reservation_is_sent_nothing_more() {
+fn an_engine_that_announces_leaving_in_a_reservation_response_gets_no_more_requests() {
     let spec = FleetSpec { gateways: 1, readers: 1, writers: 2, plain: 1, ..FleetSpec::default() };
     with_fleet(spec, async |fleet| {
         fleet.store.set_fault(store::Fault::Silent);
-        let writer = &fleet.runners[1];
-        writer.set_fault(Fault::Full);
-        writer.say_leaving();
-        requests(fleet, "before", 6).await;
-        let heard = Instant::now();
-        writer.set_fault(Fault::None);
-        requests(fleet, "after", 6).await;
-        assert!(writer.seen.borrow().refused > 0, "it was never asked");
-        assert_eq!(taken_later(fleet, 1, heard), 0, "it was asked again");
+        let engine = &fleet.runners[1];
+        engine.set_fault(Fault::Full);
+        engine.say_leaving();
+        send_all_kinds(fleet, "before", 6).await;
+        let announced_at = Instant::now();
+        engine.set_fault(Fault::None);
+        send_all_kinds(fleet, "after", 6).await;
+        assert!(engine.seen.borrow().refused > 0, "the engine was never asked for a reservation");
+        assert_eq!(taken_after(fleet, 1, announced_at), 0, "the engine was asked again");
     });
 }
 
-/// Who is told by an answer tells the others.
+/// A gateway that learns of the leaving from a response passes it on to the other gateways.
 #[test]
-fn all_gateways_hear_what_one_was_told() {
+fn a_leaving_announced_to_one_gateway_reaches_all_gateways() {
     let spec = FleetSpec { gateways: 3, readers: 1, writers: 1, plain: 2, ..FleetSpec::default() };
     with_fleet(spec, async |fleet| {
-        compio::time::sleep(BOUND / 2).await;
+        compio::time::sleep(LEAVING_BOUND / 2).await;
         fleet.store.set_fault(store::Fault::Silent);
-        // The one that the first gateway used and knows is used again.
+        // The first gateway sends its next call to the server that it already knows.
         let _ = fleet.caller(0).call(CHECK, "first").await;
-        let used = if fleet.runs("first") == fleet.runners[2].runs("first") { 2 } else { 3 };
-        fleet.runners[used].say_leaving();
+        let known = if fleet.runs("first") == fleet.runners[2].runs("first") { 2 } else { 3 };
+        fleet.runners[known].say_leaving();
         let _ = fleet.caller(0).call(CHECK, "second").await;
-        assert_eq!(fleet.runners[used].runs("second"), 1, "it is not told");
-        compio::time::sleep(BOUND / 4).await;
-        let heard = Instant::now();
-        requests(fleet, "after", 6).await;
-        assert_eq!(taken_later(fleet, used, heard), 0, "another gateway sent it something");
+        assert_eq!(
+            fleet.runners[known].runs("second"),
+            1,
+            "the first gateway did not receive the announcement"
+        );
+        compio::time::sleep(LEAVING_BOUND / 4).await;
+        let announced_at = Instant::now();
+        send_all_kinds(fleet, "after", 6).await;
+        assert_eq!(
+            taken_after(fleet, known, announced_at),
+            0,
+            "another gateway sent requests to the leaving server"
+        );
     });
 }
 
-/// What was said ends with the life that said it: the next one at the address is used.
+/// The announcement ends with the incarnation that made it: the next one at the same address is used.
 #[test]
-fn the_next_life_is_used() {
+fn the_next_incarnation_of_a_leaving_server_is_used() {
     let spec = FleetSpec { gateways: 2, readers: 1, writers: 1, plain: 1, ..FleetSpec::default() };
     with_fleet(spec, async |fleet| {
         let plain = fleet.runners[2].clone();
         plain.say_leaving();
-        requests(fleet, "before", 1).await;
+        send_all_kinds(fleet, "before", 1).await;
         let answer = fleet.caller(0).call(CHECK, "refused").await.expect("an answer");
         assert_eq!(answer.status, 503);
         plain.stay();
-        plain.crash("the end of a life");
-        compio::time::sleep(BOUND).await;
+        plain.crash("restart");
+        compio::time::sleep(LEAVING_BOUND).await;
         for gateway in 0..2 {
             let answer = fleet.caller(gateway).call(CHECK, &format!("again{gateway}")).await;
             assert_eq!(answer.expect("an answer").status, 200);
@@ -117,25 +120,25 @@
     });
 }
 
-/// What the rule says: a server that turns a request away may say for how long it wants nothing; no more
-/// than two requests may reach it from the same gateway from half a second on until then.
+/// A server that rejects a request may give a back-off time. From half a second later until that time has
+/// passed, one gateway may send it two requests at most.
 ///
-/// Cause of the failure: of an answer's head only that nothing had run was read, and the next request chose
-/// the server as if it had said nothing.
+/// Guards against a gateway that reads from the response headers only that nothing ran, and then selects the
+/// server for the next request as if it had given no back-off.
 #[test]
-fn a_server_that_wants_nothing_is_sent_nothing() {
+fn a_server_in_back_off_gets_no_requests() {
     let spec = FleetSpec { gateways: 1, readers: 1, writers: 1, plain: 1, ..FleetSpec::default() };
     with_fleet(spec, async |fleet| {
         fleet.runners.iter().for_each(|r| r.want_nothing(Some("5")));
-        requests(fleet, "before", 1).await;
-        compio::time::sleep(BOUND / 4).await;
-        let begin = Instant::now();
+        send_all_kinds(fleet, "before", 1).await;
+        compio::time::sleep(LEAVING_BOUND / 4).await;
+        let start = Instant::now();
         for n in 0..20 {
             for path in [CHECK, LOOKUP, SUMMARY, ONCE_SUMMARY] {
                 let caller = fleet.caller(0);
                 compio::runtime::spawn(async move {
                     let attempt = format!("after-{n}{path}");
-                    // Whatever it is told: what reaches the servers counts.
+                    // The responses do not matter: only arrivals at the servers are counted.
                     let _ = match path {
                         CHECK | LOOKUP => caller.call(path, &attempt).await,
                         _ => caller.summary(path, &attempt).await,
@@ -143,27 +146,27 @@
                 })
                 .detach();
             }
-            compio::time::sleep(BOUND / 40).await;
+            compio::time::sleep(LEAVING_BOUND / 40).await;
         }
-        for runner in 0..fleet.runners.len() {
-            let sent = taken_later(fleet, runner, begin);
-            println!("server {runner}: {sent}");
-            assert!(sent <= 2, "server {runner} was sent {sent} requests");
+        for backend in 0..fleet.runners.len() {
+            let sent = taken_after(fleet, backend, start);
+            println!("server {backend}: {sent}");
+            assert!(sent <= 2, "server {backend} received {sent} requests");
         }
     });
 }
 
-/// When all that could serve want nothing for longer than the caller's goal, the caller hears so at once,
-/// and the earliest moment.
+/// When the back-off of every suitable server is longer than the latency goal, the request is refused at once
+/// with the earliest time at which a server accepts requests again.
 #[test]
-fn who_cannot_be_served_in_time_is_told_the_earliest_moment() {
+fn a_request_that_no_server_accepts_in_time_gets_the_earliest_retry_after() {
     let spec = FleetSpec { gateways: 1, readers: 1, writers: 1, plain: 2, ..FleetSpec::default() };
     with_fleet(spec, async |fleet| {
         fleet.runners[1].want_nothing(Some("7"));
         fleet.runners[2].want_nothing(Some("9"));
         fleet.runners[3].want_nothing(Some("5"));
-        requests(fleet, "before", 1).await;
-        for (path, most) in [(CHECK, 5.0), (LOOKUP, 5.0), (SUMMARY, 7.0)] {
+        send_all_kinds(fleet, "before", 1).await;
+        for (path, longest) in [(CHECK, 5.0), (LOOKUP, 5.0), (SUMMARY, 7.0)] {
             let caller = fleet.caller(0);
             let answer = match path {
                 SUMMARY => caller.summary(path, path).await,
@@ -173,14 +176,14 @@
             assert_eq!((answer.status, fleet.runs(path)), (503, 0), "{path}");
             assert!(answer.took < Duration::from_millis(50), "{path}: {:?}", answer.took);
             let wait: f64 = answer.header("retry-after").expect("a time").parse().expect("seconds");
-            assert!(wait <= most && wait > most - 4.0, "{path}: {wait} of {most}");
+            assert!(wait <= longest && wait > longest - 4.0, "{path}: {wait} of {longest}");
         }
     });
 }
 
-/// A pause that ends within the goal is waited for; one server's pause is nobody else's.
+/// The gateway waits for a back-off that ends within the latency goal; it applies to its own server only.
 #[test]
-fn a_short_pause_is_waited_for_and_others_are_used() {
+fn a_short_back_off_is_waited_for_and_other_servers_are_used() {
     let spec = FleetSpec { gateways: 1, readers: 1, writers: 2, plain: 1, ..FleetSpec::default() };
     with_fleet(spec, async |fleet| {
         fleet.runners[3].want_nothing(Some("0.1"));
@@ -196,9 +199,9 @@
     });
 }
 
-/// What is no time is no reason to stay away for long, nor to fail.
+/// An invalid back-off time causes neither a long back-off nor a failure.
 #[test]
-fn nonsense_is_no_time() {
+fn an_invalid_back_off_time_is_ignored() {
     let spec = FleetSpec { gateways: 1, readers: 1, writers: 1, plain: 1, ..FleetSpec::default() };
     with_fleet(spec, async |fleet| {
         for (n, text) in ["-3", "NaN", "soon", "1e400", ""].into_iter().enumerate() {
--- a/crates/standins/tests/crashing.rs
+++ b/crates/standins/tests/crashing.rs
@@ -1,4 +1,4 @@
-//! Requests under which backend servers end.
+//! Requests that crash backend servers: they are quarantined before they reach every server.
 
 use std::time::{Duration, Instant};
 
@@ -7,36 +7,42 @@
     Fleet, FleetSpec, LOOKUP, ONCE_SUMMARY, SUMMARY, store, with_fleet,
 };
 
-/// Servers under which a content ended, after which it must reach no others.
-const PROVED: usize = 3;
-/// Within which every gateway must act on that.
-const CONTACT: Duration = Duration::from_secs(3);
-/// Sends that may still be on their way behind it.
-const LATE_MAX: usize = 3;
+/// Number of servers that a request may crash before it must reach no others.
+const CRASH_LIMIT: usize = 3;
+/// Time after which every gateway must enforce the quarantine.
+const CONTACT_BOUND: Duration = Duration::from_secs(3);
+/// Sends after that time that may still have been in flight.
+const MAX_LATE_SENDS: usize = 3;
 
-/// Pause between two repeats of a content.
-const PAUSE: Duration = Duration::from_millis(250);
+/// Time between two sends of the same request.
+const SEND_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Sends contents under which servers end, through all gateways in turn.
-async fn repeat(fleet: &Fleet, path: &str, name: &str, lasts: Duration, pause: Duration) {
-    repeat_body(fleet, path, name, &format!("{ENDS}{name}"), lasts, pause).await;
+/// Repeatedly sends a request that crashes servers, through all gateways in turn.
+async fn send_repeatedly(
+    fleet: &Fleet,
+    path: &str,
+    name: &str,
+    duration: Duration,
+    pause: Duration,
+) {
+    send_body_repeatedly(fleet, path, name, &format!("{ENDS}{name}"), duration, pause).await;
 }
 
-async fn repeat_body(
+async fn send_body_repeatedly(
     fleet: &Fleet,
     path: &str,
     name: &str,
     body: &str,
-    lasts: Duration,
+    duration: Duration,
     pause: Duration,
 ) {
-    let (end, mut n) = (Instant::now() + lasts, 0);
+    let (end, mut n) = (Instant::now() + duration, 0);
     while Instant::now() < end {
         let caller = fleet.caller(n % fleet.gateways.len());
         let (path, attempt) = (path.to_owned(), format!("{name}-{n}"));
         let body = body.to_owned();
         compio::runtime::spawn(async move {
-            // Whatever comes of it: nobody waits for an answer.
+            // The answer does not matter: the test reads what the servers recorded.
             let _ = caller.with_body(&path, &attempt, body).await;
         })
         .detach();
@@ -45,19 +51,20 @@
     }
 }
 
-/// Servers that ended under a content, and how often it reached one later than allowed.
-fn toll(fleet: &Fleet, name: &str) -> (usize, usize) {
+/// Returns how many servers the request crashed, and how often it reached a server later than allowed.
+fn crash_counts(fleet: &Fleet, name: &str) -> (usize, usize) {
     let seen = fleet.runners.iter().map(|r| r.seen.borrow().clone());
-    let (mut ended, mut reached) = (Vec::new(), Vec::new());
+    let (mut crashes, mut arrivals) = (Vec::new(), Vec::new());
     for seen in seen {
-        ended.extend(seen.ended.into_iter().filter(|(n, _)| n == name).map(|(_, at)| at));
-        reached.extend(seen.marked.into_iter().filter(|(n, _)| n == name).map(|(_, at)| at));
+        crashes.extend(seen.ended.into_iter().filter(|(n, _)| n == name).map(|(_, at)| at));
+        arrivals.extend(seen.marked.into_iter().filter(|(n, _)| n == name).map(|(_, at)| at));
     }
-    ended.sort();
-    let third = ended.get(PROVED - 1);
-    let late = third.map_or(0, |t| reached.iter().filter(|at| **at > *t + CONTACT).count());
-    println!("{name}: {} ended, {late} late", ended.len());
-    (ended.len(), late)
+    crashes.sort();
+    let limit_reached_at = crashes.get(CRASH_LIMIT - 1);
+    let late = limit_reached_at
+        .map_or(0, |t| arrivals.iter().filter(|at| **at > *t + CONTACT_BOUND).count());
+    println!("{name}: {} crashed, {late} late", crashes.len());
+    (crashes.len(), late)
 }
 
 fn spec(gateways: usize) -> FleetSpec {
@@ -65,78 +72,83 @@
     FleetSpec { gateways, readers: 2, writers: 6, plain: 4, runner, ..FleetSpec::default() }
 }
 
-/// What operators saw: engines ended one after the other, twenty in thirteen seconds, and a tenth of the
-/// summaries were cut with them. One request was behind it: it ended each engine 0.1 s after it had begun
-/// to run there, and its caller sent it again and again, to any gateway.
-///
-/// Order of events: an engine ended; the caller repeated; another gateway, or the same one, sent it to the
-/// next engine as if it had never been seen. Cause: what a request did to engines was forgotten with the
-/// attempt, and each attempt has an id of its own.
+/// Guards against gateways that forget what a request did to an engine together with the attempt.
 ///
-/// Evidence: in the record of a played day each of fifteen engines that ended lost exactly one stream before
-/// its first event, of one shape on one route, through all four gateways in turn; other streams that were
-/// lost there differed from each other.
+/// One request crashed each engine 0.1 s after its run began, and its caller kept sending it again through any
+/// gateway. Each attempt has an id of its own, so the gateways sent every repeat to the next engine as if it were
+/// new: twenty engines crashed in thirteen seconds, and a tenth of the summaries were cut off with them.
 #[test]
-fn a_request_that_ended_three_engines_reaches_no_others() {
+fn a_request_that_crashed_three_engines_reaches_no_others() {
     with_fleet(spec(3), async |fleet| {
-        repeat(fleet, SUMMARY, "a", Duration::from_secs(7), PAUSE).await;
-        let (ended, late) = toll(fleet, "a");
-        assert!(ended >= PROVED, "{ended} engines ended: nothing is proved");
-        assert!(late <= LATE_MAX, "sent {late} times later than allowed; {ended} engines ended");
+        send_repeatedly(fleet, SUMMARY, "a", Duration::from_secs(7), SEND_INTERVAL).await;
+        let (crashes, late) = crash_counts(fleet, "a");
+        assert!(crashes >= CRASH_LIMIT, "{crashes} engines crashed: too few for a quarantine");
+        assert!(
+            late <= MAX_LATE_SENDS,
+            "sent {late} times later than allowed; {crashes} engines crashed"
+        );
     });
 }
 
-/// Few more than the proof needs: the second send waits for the first one's end to be known.
+/// Hardly more engines crash than the quarantine needs: a repeat waits until it is known whether the first send
+/// crashed its engine.
 #[test]
-fn a_request_is_not_tried_while_it_is_looked_into() {
+fn a_request_is_held_back_while_a_crash_is_unconfirmed() {
     with_fleet(spec(3), async |fleet| {
-        repeat(fleet, SUMMARY, "a", Duration::from_secs(4), PAUSE / 5).await;
-        let (ended, _) = toll(fleet, "a");
-        assert!(ended <= PROVED + 3, "{ended} engines ended");
+        send_repeatedly(fleet, SUMMARY, "a", Duration::from_secs(4), SEND_INTERVAL / 5).await;
+        let (crashes, _) = crash_counts(fleet, "a");
+        assert!(crashes <= CRASH_LIMIT + 3, "{crashes} engines crashed");
     });
 }
 
-/// Short calls that may run again are sent to a second server at once; their servers end too.
+/// An idempotent call is retried at a second server at once, and crashes that one too.
 #[test]
-fn a_call_that_ended_three_servers_reaches_no_others() {
+fn a_call_that_crashed_three_servers_reaches_no_others() {
     with_fleet(spec(3), async |fleet| {
-        repeat(fleet, LOOKUP, "a", Duration::from_secs(9), PAUSE).await;
-        let (ended, late) = toll(fleet, "a");
-        assert!(ended >= PROVED, "{ended} servers ended: nothing is proved");
-        assert!(late <= LATE_MAX, "sent {late} times later than allowed; {ended} servers ended");
+        send_repeatedly(fleet, LOOKUP, "a", Duration::from_secs(9), SEND_INTERVAL).await;
+        let (crashes, late) = crash_counts(fleet, "a");
+        assert!(crashes >= CRASH_LIMIT, "{crashes} servers crashed: too few for a quarantine");
+        assert!(
+            late <= MAX_LATE_SENDS,
+            "sent {late} times later than allowed; {crashes} servers crashed"
+        );
     });
 }
 
-/// Reading the prompt is enough to end an engine.
+/// Processing the prompt is enough to crash a prefill engine.
 #[test]
-fn a_prompt_that_ended_three_readers_reaches_no_others() {
+fn a_prompt_that_crashed_three_prefill_engines_reaches_no_others() {
     let spec = FleetSpec { readers: 4, ..spec(2) };
     with_fleet(spec, async |fleet| {
         let body = format!("{ENDS_READERS}a");
-        repeat_body(fleet, SUMMARY, "a", &body, Duration::from_secs(8), PAUSE).await;
-        let (ended, late) = toll(fleet, "a");
-        assert!(ended >= PROVED, "{ended} engines ended: nothing is proved");
-        assert!(late <= LATE_MAX, "sent {late} times later than allowed; {ended} engines ended");
+        send_body_repeatedly(fleet, SUMMARY, "a", &body, Duration::from_secs(8), SEND_INTERVAL)
+            .await;
+        let (crashes, late) = crash_counts(fleet, "a");
+        assert!(crashes >= CRASH_LIMIT, "{crashes} engines crashed: too few for a quarantine");
+        assert!(
+            late <= MAX_LATE_SENDS,
+            "sent {late} times later than allowed; {crashes} engines crashed"
+        );
     });
 }
 
-/// What else was there when engines ended is served when it comes again.
+/// Requests that were running on engines when these crashed are served when they are sent again.
 #[test]
-fn whoever_was_there_is_served() {
+fn other_requests_at_crashed_engines_are_served() {
     with_fleet(spec(2), async |fleet| {
         let others = async {
-            let mut whole = 0;
+            let mut complete = 0;
             for n in 0..24 {
                 let caller = fleet.caller(n % 2);
                 let (attempt, body) = (format!("b{n}"), format!("other {n}"));
                 let answer = caller.with_body(SUMMARY, &attempt, body).await.expect("an answer");
-                whole += usize::from(answer.status == 200 && answer.whole);
+                complete += usize::from(answer.status == 200 && answer.whole);
             }
-            whole
+            complete
         };
-        let bad = repeat(fleet, SUMMARY, "a", Duration::from_secs(5), PAUSE);
-        let (_, whole) = futures_util::join!(bad, others);
-        assert!(whole >= 22, "{whole} of 24 served while engines ended beside them");
+        let crashing = send_repeatedly(fleet, SUMMARY, "a", Duration::from_secs(5), SEND_INTERVAL);
+        let (_, complete) = futures_util::join!(crashing, others);
+        assert!(complete >= 22, "{complete} of 24 complete while other requests crashed engines");
         for n in 0..24 {
             let (attempt, body) = (format!("again{n}"), format!("other {n}"));
             let answer = fleet.caller(n % 2).with_body(SUMMARY, &attempt, body).await;
@@ -145,20 +157,27 @@
     });
 }
 
-/// What all callers ask for is at each server that ends; it is served on.
+/// A request that all callers send is running on each server that crashes; it must not be quarantined.
 #[test]
-fn what_everybody_asks_for_is_served_on() {
+fn a_request_of_all_callers_is_not_quarantined() {
     with_fleet(spec(2), async |fleet| {
         let end = Instant::now() + Duration::from_secs(12);
-        let bad = async {
+        let crashing = async {
             let mut n = 0;
             while Instant::now() < end {
-                // Another content each time: one server ends after the other.
-                repeat(fleet, LOOKUP, &format!("bad{n}"), PAUSE * 2, PAUSE).await;
+                // A different request each time: one server crashes after the other.
+                send_repeatedly(
+                    fleet,
+                    LOOKUP,
+                    &format!("bad{n}"),
+                    SEND_INTERVAL * 2,
+                    SEND_INTERVAL,
+                )
+                .await;
                 n += 1;
             }
         };
-        let asked = async {
+        let common = async {
             let (mut n, mut quarantined) = (0, 0);
             while Instant::now() < end {
                 n += 1;
@@ -167,34 +186,34 @@
                 let answer = answer.expect("an answer");
                 let text = String::from_utf8_lossy(&answer.body).into_owned();
                 quarantined += usize::from(text.contains("quarantined"));
-                compio::time::sleep(PAUSE / 25).await;
+                compio::time::sleep(SEND_INTERVAL / 25).await;
             }
             quarantined
         };
-        let (_, quarantined) = futures_util::join!(bad, asked);
+        let (_, quarantined) = futures_util::join!(crashing, common);
         assert_eq!(quarantined, 0);
     });
 }
 
-/// A server that loses each answer of a request did not end under it.
+/// A server that loses every answer to a request has not crashed under it.
 #[test]
-fn answers_that_are_lost_prove_nothing() {
+fn lost_answers_do_not_count_as_crashes() {
     let spec = FleetSpec { gateways: 2, plain: 4, ..spec(2) };
     with_fleet(spec, async |fleet| {
-        let lose = |fault| fleet.runners.iter().for_each(|r| r.set_fault(fault));
-        lose(Fault::Breaks);
+        let set_fault = |fault| fleet.runners.iter().for_each(|r| r.set_fault(fault));
+        set_fault(Fault::Breaks);
         for n in 0..6 {
             let caller = fleet.caller(n % 2);
             let _ = caller.with_body(SUMMARY, &format!("s{n}"), "same".into()).await;
         }
-        lose(Fault::Loses);
+        set_fault(Fault::Loses);
         for n in 0..6 {
             let caller = fleet.caller(n % 2);
             let _ = caller.with_body(LOOKUP, &format!("l{n}"), "same".into()).await;
-            compio::time::sleep(PAUSE).await;
+            compio::time::sleep(SEND_INTERVAL).await;
         }
-        lose(Fault::None);
-        compio::time::sleep(PAUSE * 4).await;
+        set_fault(Fault::None);
+        compio::time::sleep(SEND_INTERVAL * 4).await;
         for path in [SUMMARY, LOOKUP] {
             for n in 0..2 {
                 let answer = fleet.caller(n).with_body(path, &format!("z{n}"), "same".into()).await;
@@ -205,70 +224,70 @@
     });
 }
 
-/// A stream whose answer is spoiled is asked for again at once, and served at once: its engine is alive.
+/// A repeat of a stream that broke off is served without delay when the engine is still alive.
 #[test]
-fn a_repeat_of_what_is_looked_into_waits_a_moment() {
+fn a_repeat_of_a_broken_stream_is_delayed_briefly_at_most() {
     with_fleet(spec(1), async |fleet| {
-        let writers = || fleet.runners.iter().skip(2).take(6);
+        let decode_engines = || fleet.runners.iter().skip(2).take(6);
         for n in 0..5 {
             let body = format!("story {n}");
-            writers().for_each(|r| r.set_fault(Fault::Breaks));
+            decode_engines().for_each(|r| r.set_fault(Fault::Breaks));
             let caller = fleet.caller(0);
             let first = caller.with_body(ONCE_SUMMARY, &format!("f{n}"), body.clone()).await;
             assert!(!first.expect("an answer").whole);
-            writers().for_each(|r| r.set_fault(Fault::None));
+            decode_engines().for_each(|r| r.set_fault(Fault::None));
             let again = caller.with_body(ONCE_SUMMARY, &format!("g{n}"), body).await;
             let again = again.expect("an answer");
             assert_eq!((again.status, again.whole), (200, true), "{n}");
-            // It takes 250 ms by itself.
+            // The run itself takes 250 ms.
             assert!(again.took < Duration::from_millis(700), "{n}: {:?}", again.took);
         }
     });
 }
 
-/// A gateway that begins a new life hears from its peers; one that was never told anything refuses too.
+/// A new gateway learns of a quarantine from its peers, also when the store has no record of it.
 #[test]
 fn a_new_gateway_knows_what_its_peers_know() {
     with_fleet(spec(2), async |fleet| {
-        repeat(fleet, SUMMARY, "a", Duration::from_secs(4), PAUSE).await;
-        // Nothing of it can come from the store.
+        send_repeatedly(fleet, SUMMARY, "a", Duration::from_secs(4), SEND_INTERVAL).await;
+        // The store must not be the source.
         fleet.store.hide("ebonyloft/quarantine/");
         fleet.add_gateway();
         fleet.wait_ready(2).await;
         compio::time::sleep(Duration::from_secs(1)).await;
-        let (before, _) = toll(fleet, "a");
-        refused(fleet, 2).await;
-        assert_eq!(toll(fleet, "a").0, before, "another engine ended");
+        let (before, _) = crash_counts(fleet, "a");
+        assert_quarantined(fleet, 2).await;
+        assert_eq!(crash_counts(fleet, "a").0, before, "another engine crashed");
     });
 }
 
-/// The proof outlives the loss of all gateways.
+/// A quarantine outlives the restart of all gateways.
 #[test]
-fn gateways_that_all_began_anew_know_by_the_store() {
+fn restarted_gateways_read_quarantines_from_the_store() {
     with_fleet(spec(2), async |fleet| {
-        repeat(fleet, SUMMARY, "a", Duration::from_secs(4), PAUSE).await;
+        send_repeatedly(fleet, SUMMARY, "a", Duration::from_secs(4), SEND_INTERVAL).await;
         for gateway in 0..2 {
             fleet.stop(gateway);
         }
         compio::time::sleep(Duration::from_secs(4)).await;
         fleet.add_gateway();
         fleet.wait_ready(2).await;
-        refused(fleet, 2).await;
+        assert_quarantined(fleet, 2).await;
     });
 }
 
-/// All gateways begin anew when two servers have ended: one more proves the content. Gateways that have just
-/// begun don't know each other yet, so that both may try it once.
+/// All gateways restart after two servers have crashed: one more crash leads to the quarantine. Gateways that
+/// have just started don't know each other yet, so both may try the request once.
 #[test]
-fn two_endings_outlive_the_loss_of_all_gateways() {
+fn two_crashes_outlive_the_restart_of_all_gateways() {
     with_fleet(spec(2), async |fleet| {
         let body = format!("{ENDS}a");
         for n in 0..2 {
             let _ =
                 fleet.caller(n).with_body(ONCE_SUMMARY, &format!("first{n}"), body.clone()).await;
-            compio::time::sleep(PAUSE * 2).await;
+            compio::time::sleep(SEND_INTERVAL * 2).await;
         }
-        assert_eq!(toll(fleet, "a").0, 2);
+        assert_eq!(crash_counts(fleet, "a").0, 2);
         for gateway in 0..2 {
             fleet.stop(gateway);
         }
@@ -278,73 +297,84 @@
             fleet.add_gateway();
             fleet.wait_ready(gateway).await;
         }
-        repeat(fleet, ONCE_SUMMARY, "a", Duration::from_secs(3), PAUSE / 5).await;
-        let (ended, _) = toll(fleet, "a");
-        assert!(ended <= PROVED + 1, "{ended} engines ended");
+        send_repeatedly(fleet, ONCE_SUMMARY, "a", Duration::from_secs(3), SEND_INTERVAL / 5).await;
+        let (crashes, _) = crash_counts(fleet, "a");
+        assert!(crashes <= CRASH_LIMIT + 1, "{crashes} engines crashed");
     });
 }
 
-/// A key that goes missing says nothing: keys lapse while the store is away.
+/// A key that disappears from the store ends no quarantine: keys expire while the store is away.
 #[test]
-fn a_proof_outlives_its_key() {
+fn a_quarantine_outlives_its_key() {
     with_fleet(spec(1), async |fleet| {
-        repeat(fleet, SUMMARY, "a", Duration::from_secs(4), PAUSE).await;
+        send_repeatedly(fleet, SUMMARY, "a", Duration::from_secs(4), SEND_INTERVAL).await;
         let keys = fleet.store.keys("ebonyloft/quarantine/");
         assert_eq!(keys.len(), 1, "{keys:?}");
         fleet.store.remove(&keys[0]);
-        compio::time::sleep(PAUSE * 2).await;
-        refused(fleet, 0).await;
+        compio::time::sleep(SEND_INTERVAL * 2).await;
+        assert_quarantined(fleet, 0).await;
     });
 }
 
-/// An operator lets a content in again, by a word in its place.
+/// An operator releases a request from quarantine by overwriting its key.
 #[test]
-fn an_operator_lets_a_content_in_again() {
+fn an_operator_releases_a_request_from_quarantine() {
     with_fleet(spec(2), async |fleet| {
-        repeat(fleet, SUMMARY, "a", Duration::from_secs(4), PAUSE).await;
-        refused(fleet, 0).await;
+        send_repeatedly(fleet, SUMMARY, "a", Duration::from_secs(4), SEND_INTERVAL).await;
+        assert_quarantined(fleet, 0).await;
         let keys = fleet.store.keys("ebonyloft/quarantine/");
         let value = br#"{"servers":[],"by":"operator","release":true}"#;
         fleet.store.put(&keys[0], value, 0);
-        compio::time::sleep(PAUSE * 4).await;
+        compio::time::sleep(SEND_INTERVAL * 4).await;
         for gateway in 0..2 {
-            let before = toll(fleet, "a").0;
+            let before = crash_counts(fleet, "a").0;
             let body = format!("{ENDS}a");
             let _ = fleet.caller(gateway).with_body(SUMMARY, &format!("in{gateway}"), body).await;
-            assert!(toll(fleet, "a").0 > before, "not tried again by gateway {gateway}");
-            compio::time::sleep(PAUSE * 4).await;
+            assert!(
+                crash_counts(fleet, "a").0 > before,
+                "gateway {gateway} did not send the request again"
+            );
+            compio::time::sleep(SEND_INTERVAL * 4).await;
         }
     });
 }
 
-/// While the store is away the gateways agree by themselves.
+/// While the store is away the gateways agree on a quarantine among themselves.
 #[test]
-fn without_the_store_the_gateways_agree() {
+fn gateways_agree_on_a_quarantine_without_the_store() {
     with_fleet(spec(3), async |fleet| {
         fleet.store.set_fault(store::Fault::Silent);
-        repeat(fleet, SUMMARY, "a", Duration::from_secs(7), PAUSE).await;
-        let (ended, late) = toll(fleet, "a");
-        assert!(ended >= PROVED, "{ended} engines ended: nothing is proved");
-        assert!(late <= LATE_MAX, "sent {late} times later than allowed; {ended} engines ended");
+        send_repeatedly(fleet, SUMMARY, "a", Duration::from_secs(7), SEND_INTERVAL).await;
+        let (crashes, late) = crash_counts(fleet, "a");
+        assert!(crashes >= CRASH_LIMIT, "{crashes} engines crashed: too few for a quarantine");
+        assert!(
+            late <= MAX_LATE_SENDS,
+            "sent {late} times later than allowed; {crashes} engines crashed"
+        );
     });
 }
 
-/// The end is known by its registration, which may be gone before the silent run is given up.
+/// The crash shows only by the missing registration, which may be gone before the gateway gives up the silent
+/// run.
 #[test]
 fn a_request_under_which_engines_fall_silent_reaches_no_others() {
     let spec = FleetSpec { writers: 10, ..spec(3) };
     with_fleet(spec, async |fleet| {
         let body = format!("{ENDS_DARK}a");
-        repeat_body(fleet, SUMMARY, "a", &body, Duration::from_secs(12), PAUSE).await;
-        let (ended, late) = toll(fleet, "a");
-        assert!(ended >= PROVED, "{ended} engines ended: nothing is proved");
-        assert!(late <= LATE_MAX, "sent {late} times later than allowed; {ended} engines ended");
+        send_body_repeatedly(fleet, SUMMARY, "a", &body, Duration::from_secs(12), SEND_INTERVAL)
+            .await;
+        let (crashes, late) = crash_counts(fleet, "a");
+        assert!(crashes >= CRASH_LIMIT, "{crashes} engines crashed: too few for a quarantine");
+        assert!(
+            late <= MAX_LATE_SENDS,
+            "sent {late} times later than allowed; {crashes} engines crashed"
+        );
     });
 }
 
-/// Its caller leaves before the server has ended, and comes again: what it did is seen all the same.
+/// The caller disconnects before the server crashes, and sends the request again: the crash still counts.
 #[test]
-fn a_caller_who_leaves_early_hides_nothing() {
+fn a_crash_counts_after_its_caller_disconnected() {
     with_fleet(spec(2), async |fleet| {
         let end = Instant::now() + Duration::from_secs(9);
         let (mut n, body) = (0, format!("{ENDS}a"));
@@ -354,25 +384,31 @@
                 let caller = fleet.caller(n % 2);
                 let (attempt, body) = (format!("{path}-{n}"), format!("{body}{path}"));
                 let sent = caller.with_body(path, &attempt, body);
-                // Some 50 ms to read the prompt, 70 until the end.
-                let _ = compio::time::timeout(PAUSE / 3, sent).await;
+                // About 50 ms for the prefill, and 70 ms until the crash.
+                let _ = compio::time::timeout(SEND_INTERVAL / 3, sent).await;
             }
-            compio::time::sleep(PAUSE).await;
+            compio::time::sleep(SEND_INTERVAL).await;
         }
         for path in [SUMMARY, LOOKUP] {
-            let (ended, late) = toll(fleet, &format!("a{path}"));
-            assert!(ended >= PROVED, "{ended} servers ended under {path}: nothing is proved");
-            assert!(late <= LATE_MAX, "{path}: {late} sends too late; {ended} servers ended");
+            let (crashes, late) = crash_counts(fleet, &format!("a{path}"));
+            assert!(
+                crashes >= CRASH_LIMIT,
+                "{crashes} servers crashed under {path}: too few for a quarantine"
+            );
+            assert!(
+                late <= MAX_LATE_SENDS,
+                "{path}: {late} sends too late; {crashes} servers crashed"
+            );
         }
     });
 }
 
-/// A proof that the store could not take yet is written when it can.
+/// A quarantine that could not be written during a store outage is written afterwards.
 #[test]
-fn a_proof_is_written_when_the_store_is_back() {
+fn a_quarantine_is_written_when_the_store_is_back() {
     with_fleet(spec(1), async |fleet| {
         fleet.store.set_fault(store::Fault::Silent);
-        repeat(fleet, SUMMARY, "a", Duration::from_secs(4), PAUSE).await;
+        send_repeatedly(fleet, SUMMARY, "a", Duration::from_secs(4), SEND_INTERVAL).await;
         compio::time::sleep(Duration::from_secs(12)).await;
         assert!(fleet.store.keys("ebonyloft/quarantine/").is_empty());
         fleet.store.set_fault(store::Fault::None);
@@ -381,14 +417,14 @@
     });
 }
 
-/// The content gets its answer at once, and a true one: it did not run, and is not worth sending soon.
-async fn refused(fleet: &Fleet, gateway: usize) {
+/// The request is refused at once: as quarantined, not run, and not to be sent again soon.
+async fn assert_quarantined(fleet: &Fleet, gateway: usize) {
     let body = format!("{ENDS}a");
     let answer = fleet.caller(gateway).with_body(SUMMARY, "refused", body).await;
     let answer = answer.expect("an answer");
     assert_eq!(answer.status, 503);
     assert_eq!(fleet.runs("refused"), 0);
-    assert!(answer.took < PAUSE, "{:?}", answer.took);
+    assert!(answer.took < SEND_INTERVAL, "{:?}", answer.took);
     let text = String::from_utf8_lossy(&answer.body).into_owned();
     assert!(text.contains("quarantined") && text.contains("not-run"), "{text}");
     let wait: f64 = answer.header("retry-after").expect("a time").parse().expect("seconds");
--- a/crates/standins/tests/gateway.rs
+++ b/crates/standins/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway on real sockets: what callers get and what backend servers see, also under faults.
+//! The gateway over real sockets: responses to callers and arrivals at backend servers, also under faults.
 
 use std::time::Duration;
 
@@ -20,23 +20,23 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn seen_arrivals(fleet: &Fleet) -> usize {
+fn arrival_count(fleet: &Fleet) -> usize {
     fleet.runners.iter().map(|r| r.seen.borrow().arrivals.len()).sum()
 }
 
-/// A summary with the attempt `s1` that is sent meanwhile.
+/// Sends a summary with attempt id `s1` in a task of its own.
 fn summary_task(fleet: &Fleet, path: &str) -> JoinHandle<Result<Answer, ExchangeError>> {
     let caller = fleet.caller(0);
     let request = caller.summary_request(path, "s1");
     compio::runtime::spawn(async move { caller.send(request).await })
 }
 
-fn held(fleet: &Fleet) -> usize {
+fn in_use(fleet: &Fleet) -> usize {
     fleet.runners.iter().map(|r| r.held() + r.running() as usize).sum()
 }
 
 #[test]
-fn all_four_kinds_are_answered_whole_and_once() {
+fn all_four_request_kinds_run_once_and_are_answered_completely() {
     with_fleet(FleetSpec::default(), async |fleet| {
         let caller = fleet.caller(0);
         for (path, attempt) in [(CHECK, "c1"), (LOOKUP, "l1")] {
@@ -54,14 +54,14 @@
             assert_eq!(answer.events(), (1..=20).collect::<Vec<_>>());
             assert_eq!(fleet.runs(attempt), 1);
         }
-        // The prompts were read by the reader, and nothing is left held.
+        // The prefill engine processed both prompts, and nothing stays reserved.
         assert_eq!(fleet.runners[0].seen.borrow().reads, 2);
-        assert!(eventually(SECOND, || held(fleet) == 0).await);
+        assert!(eventually(SECOND, || in_use(fleet) == 0).await);
     });
 }
 
 #[test]
-fn a_look_up_that_fails_is_tried_elsewhere() {
+fn a_failed_lookup_is_retried_at_another_server() {
     with_fleet(FleetSpec::default(), async |fleet| {
         fleet.runners[3].set_fault(Fault::Errors);
         for i in 0..10 {
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_look_up_at_a_server_that_hangs_is_in_time() {
+fn a_lookup_is_answered_in_time_despite_a_hanging_server() {
     with_fleet(FleetSpec::default(), async |fleet| {
         fleet.runners[3].set_fault(Fault::Hangs);
         for i in 0..10 {
@@ -83,12 +83,12 @@
     });
 }
 
-/// A check whose answer is lost may have run: it is not sent again, and not called unrun.
+/// A check whose answer is lost may have run: it is not retried, and not reported as not run.
 #[test]
 fn a_lost_check_never_runs_twice() {
     with_fleet(FleetSpec::default(), async |fleet| {
-        for runner in &fleet.runners[3..] {
-            runner.set_fault(Fault::Loses);
+        for backend in &fleet.runners[3..] {
+            backend.set_fault(Fault::Loses);
         }
         for i in 0..6 {
             let attempt = format!("c{i}");
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_failure_of_a_check_is_passed_on_as_the_server_gave_it() {
+fn an_error_response_to_a_check_is_passed_on_unchanged() {
     with_fleet(FleetSpec { plain: 1, ..FleetSpec::default() }, async |fleet| {
         fleet.runners[3].set_fault(Fault::Errors);
         let answer = fleet.caller(0).call(CHECK, "c1").await.expect("an answer");
@@ -111,95 +111,102 @@
     });
 }
 
-/// What was turned away did not run: the caller hears so at once, with a time to come back.
+/// A request that every server rejected did not run: the caller gets that at once, with a retry-after.
 #[test]
-fn what_no_server_takes_is_refused_at_once() {
+fn a_request_that_all_servers_reject_is_refused_at_once() {
     with_fleet(FleetSpec::default(), async |fleet| {
-        for runner in &fleet.runners {
-            runner.set_fault(Fault::Sheds);
+        for backend in &fleet.runners {
+            backend.set_fault(Fault::Sheds);
         }
         let answer = fleet.caller(0).call(CHECK, "c1").await.expect("an answer");
         assert_eq!(answer.status, 503);
-        let after: f64 = answer.header("retry-after").expect("a time").parse().expect("seconds");
-        assert!(after > 0.0 && after < 1.0, "{after}");
+        let retry_after: f64 =
+            answer.header("retry-after").expect("a time").parse().expect("seconds");
+        assert!(retry_after > 0.0 && retry_after < 1.0, "{retry_after}");
         assert!(answer.took < Duration::from_millis(100), "{:?}", answer.took);
         assert_eq!(fleet.runs("c1"), 0);
     });
 }
 
-/// An engine that leaves while the store is away refuses what it is asked for, and looks idle to all: it is
-/// asked again after a rest only, some fifteen times while a caller waits and not some hundred.
+/// An engine that leaves during a store outage refuses reservations but looks idle to the gateways. A back-off
+/// limits them to some fifteen attempts while a caller waits, instead of some hundred.
 #[test]
-fn an_engine_that_refuses_a_place_is_left_alone_for_a_while() {
+fn an_engine_that_refuses_a_reservation_is_asked_again_after_a_back_off() {
     let runner = RunnerSpec { tokens: 5_000, events: 400, ..RunnerSpec::default() };
     with_fleet(FleetSpec { gateways: 1, runner, ..FleetSpec::default() }, async |fleet| {
         fleet.runners[1].set_fault(Fault::Full);
         let first = fleet.caller(0);
         let request = first.summary_request(SUMMARY, "s1");
-        let _kept = first.begin(request).await.expect("an answer");
+        let _stream = first.begin(request).await.expect("an answer");
         let before = fleet.runners[1].seen.borrow().refused;
         let answer = fleet.caller(0).summary(SUMMARY, "s2").await.expect("an answer");
         assert_eq!(answer.status, 503);
-        let asked = fleet.runners[1].seen.borrow().refused - before;
-        assert!((1..=20).contains(&asked), "{asked} times in {:?}", answer.took);
+        let attempts = fleet.runners[1].seen.borrow().refused - before;
+        assert!((1..=20).contains(&attempts), "{attempts} times in {:?}", answer.took);
     });
 }
 
-/// Memory for one answer only: the second summary can't be in time, and is told so early.
+/// With memory for one answer only, the second summary can't start in time and is refused early.
 #[test]
-fn a_summary_without_a_place_is_refused_before_its_goal() {
+fn a_summary_without_a_reservation_is_refused_before_its_latency_goal() {
     let runner = RunnerSpec { tokens: 5_000, events: 200, ..RunnerSpec::default() };
     with_fleet(FleetSpec { writers: 1, runner, ..FleetSpec::default() }, async |fleet| {
         let first = fleet.caller(0);
         let request = first.summary_request(SUMMARY, "s1");
-        let _kept = first.begin(request).await.expect("an answer");
+        let _stream = first.begin(request).await.expect("an answer");
         let answer = fleet.caller(0).summary(SUMMARY, "s2").await.expect("an answer");
         assert_eq!(answer.status, 503);
         assert!(answer.took < Duration::from_millis(900), "{:?}", answer.took);
-        let after: f64 = answer.header("retry-after").expect("a time").parse().expect("seconds");
-        assert!(after > 2.0, "{after}");
+        let retry_after: f64 =
+            answer.header("retry-after").expect("a time").parse().expect("seconds");
+        assert!(retry_after > 2.0, "{retry_after}");
         assert_eq!(fleet.runs("s2"), 0);
-        assert_eq!(fleet.runners[0].seen.borrow().reads, 1, "no prompt is read without a place");
+        assert_eq!(
+            fleet.runners[0].seen.borrow().reads,
+            1,
+            "no prompt is processed without a reservation"
+        );
     });
 }
 
-/// An engine breaks off in the middle of an event: the stream goes on elsewhere behind its last.
+/// An engine breaks off in the middle of an event: another one resumes after the last complete event.
 #[test]
-fn a_broken_summary_goes_on_within_the_same_answer() {
+fn a_broken_summary_is_resumed_within_the_same_response() {
     with_fleet(FleetSpec::default(), async |fleet| {
         fleet.runners[1].set_fault(Fault::Breaks);
-        let broken = |fleet: &Fleet| fleet.runners[1].seen.borrow().runs.values().sum::<usize>();
-        // Of two equal engines either is drawn: four at least, and on until one broke off.
+        let broken_runs =
+            |fleet: &Fleet| fleet.runners[1].seen.borrow().runs.values().sum::<usize>();
+        // Either of two equal engines may be selected: at least four summaries, and more until one broke off.
         for i in 0..40 {
             let attempt = format!("s{i}");
             let answer = fleet.caller(0).summary(SUMMARY, &attempt).await.expect("an answer");
             assert!(answer.whole);
             assert_eq!(answer.events(), (1..=20).collect::<Vec<_>>(), "{attempt}");
-            if i >= 3 && broken(fleet) > 0 {
+            if i >= 3 && broken_runs(fleet) > 0 {
                 break;
             }
         }
-        assert!(broken(fleet) > 0);
+        assert!(broken_runs(fleet) > 0);
     });
 }
 
-/// A summary that runs once can't go on: its answer must look broken.
+/// A summary that runs once can't be resumed: its response must end as incomplete.
 #[test]
-fn a_broken_summary_that_runs_once_looks_broken() {
+fn a_broken_summary_that_runs_once_ends_incomplete() {
     with_fleet(FleetSpec { writers: 1, ..FleetSpec::default() }, async |fleet| {
         fleet.runners[1].set_fault(Fault::Breaks);
         let answer = fleet.caller(0).summary(ONCE_SUMMARY, "s1").await.expect("an answer");
         assert!(!answer.whole);
         assert!(answer.events().len() < 20);
-        assert!(answer.body.ends_with(b"\n\n"), "only whole events are passed on");
+        assert!(answer.body.ends_with(b"\n\n"), "only complete events are passed on");
         assert_eq!(fleet.runs("s1"), 1);
     });
 }
 
-/// An engine about to change its stage grants places and takes nothing: the prompt that was read is
-/// fetched by another one, and the engine is left alone.
+/// An engine about to change its stage grants reservations but rejects the requests that use them: another
+/// engine fetches the processed prompt, and the first one is not selected again.
 #[test]
-fn an_engine_that_changes_its_stage_is_passed_over() {
+fn an_engine_that_changes_its_stage_is_not_selected() {
     with_fleet(FleetSpec::default(), async |fleet| {
         fleet.runners[1].set_fault(Fault::Changes);
         for i in 0..8 {
@@ -207,19 +214,19 @@
                 fleet.caller(0).summary(SUMMARY, &format!("s{i}")).await.expect("an answer");
             assert!(answer.whole);
         }
-        let turned = fleet.runners[1].seen.borrow().arrivals.len();
-        assert!(turned <= 3, "{turned} of 8 were sent to it");
+        let rejected = fleet.runners[1].seen.borrow().arrivals.len();
+        assert!(rejected <= 3, "{rejected} of 8 summaries were sent to it");
         let reads = fleet.runners[0].seen.borrow().reads;
-        assert!(reads <= 9, "{reads} reads for 8 summaries");
+        assert!(reads <= 9, "{reads} prefills for 8 summaries");
     });
 }
 
-/// The time runs out while a summary is at an engine that does not answer: it may have run.
+/// A summary that times out at an engine that does not answer may have run.
 #[test]
-fn a_summary_whose_time_runs_out_is_not_called_unrun() {
+fn a_summary_that_times_out_at_an_engine_is_not_reported_as_not_run() {
     with_fleet(FleetSpec::default(), async |fleet| {
-        for runner in &fleet.runners[1..3] {
-            runner.set_fault(Fault::Stuck);
+        for backend in &fleet.runners[1..3] {
+            backend.set_fault(Fault::Stuck);
         }
         let caller = fleet.caller(0).patience(SECOND);
         let answer = caller.summary(ONCE_SUMMARY, "s1").await.expect("an answer");
@@ -230,27 +237,27 @@
 }
 
 #[test]
-fn a_caller_who_leaves_ends_the_work_and_frees_the_memory() {
+fn a_caller_that_disconnects_ends_its_run_and_frees_the_memory() {
     let runner = RunnerSpec { events: 1_000, ..RunnerSpec::default() };
     with_fleet(FleetSpec { runner, ..FleetSpec::default() }, async |fleet| {
         let caller = fleet.caller(0);
-        let begun = caller.begin(caller.summary_request(ONCE_SUMMARY, "s1")).await;
+        let stream = caller.begin(caller.summary_request(ONCE_SUMMARY, "s1")).await;
         assert!(eventually(SECOND, || fleet.runs("s1") == 1).await);
-        drop(begun);
-        assert!(eventually(SECOND / 2, || held(fleet) == 0).await, "{} held", held(fleet));
+        drop(stream);
+        assert!(eventually(SECOND / 2, || in_use(fleet) == 0).await, "{} held", in_use(fleet));
     });
 }
 
 #[test]
-fn a_caller_who_leaves_while_the_prompt_is_read_holds_nothing() {
+fn a_caller_that_disconnects_during_the_prefill_holds_nothing() {
     let runner = RunnerSpec { read: Duration::from_millis(400), ..RunnerSpec::default() };
     with_fleet(FleetSpec { runner, ..FleetSpec::default() }, async |fleet| {
         let caller = fleet.caller(0);
         let request = caller.summary_request(SUMMARY, "s1");
-        let gave_up = compio::time::timeout(SECOND / 10, caller.begin(request)).await;
-        assert!(gave_up.is_err());
+        let timed_out = compio::time::timeout(SECOND / 10, caller.begin(request)).await;
+        assert!(timed_out.is_err());
         drop(caller);
-        assert!(eventually(SECOND / 2, || held(fleet) == 0).await, "{} held", held(fleet));
+        assert!(eventually(SECOND / 2, || in_use(fleet) == 0).await, "{} held", in_use(fleet));
         assert_eq!(fleet.runs("s1"), 0);
     });
 }
@@ -270,26 +277,26 @@
     });
 }
 
-/// Its place was reserved, then it began to leave while the prompt was read.
+/// The engine leaves between the reservation and the end of the prefill.
 #[test]
-fn a_place_at_an_engine_that_leaves_is_given_up() {
+fn a_reservation_at_a_leaving_engine_is_abandoned() {
     let runner = RunnerSpec { read: Duration::from_millis(300), ..RunnerSpec::default() };
     with_fleet(FleetSpec { runner, ..FleetSpec::default() }, async |fleet| {
         let task = summary_task(fleet, ONCE_SUMMARY);
-        let placed = || fleet.runners[1..3].iter().position(|r| r.held() > 0);
-        assert!(eventually(SECOND, || placed().is_some()).await);
-        let leaving = fleet.runners[1 + placed().expect("a place")].clone();
+        let reserved_at = || fleet.runners[1..3].iter().position(|r| r.held() > 0);
+        assert!(eventually(SECOND, || reserved_at().is_some()).await);
+        let leaving = fleet.runners[1 + reserved_at().expect("a reservation")].clone();
         fleet.store.unregister(&leaving.server.borrow());
         let answer = task.await.expect("the caller's task").expect("an answer");
         assert!(answer.whole);
         assert_eq!(leaving.runs("s1"), 0);
-        assert_eq!(fleet.runners[0].seen.borrow().reads, 1, "the prompt is read once");
+        assert_eq!(fleet.runners[0].seen.borrow().reads, 1, "the prompt is processed once");
     });
 }
 
-/// The address belongs to another life now: it says so, and the request runs elsewhere.
+/// A different server runs at the address: it rejects the request, which then runs elsewhere.
 #[test]
-fn another_server_at_the_address_runs_nothing() {
+fn a_different_server_at_a_known_address_runs_nothing() {
     with_fleet(FleetSpec::default(), async |fleet| {
         let id = ebonyloft_router::catalog::ServerId::new("i-new", 0);
         fleet.runners[3].server.borrow_mut().id = id;
@@ -303,7 +310,7 @@
 }
 
 #[test]
-fn a_configuration_is_in_force_soon_and_never_goes_back() {
+fn a_configuration_takes_effect_soon_and_is_never_reverted() {
     with_fleet(FleetSpec::default(), async |fleet| {
         let spec = FleetSpec::default();
         let mut next = config(9, &spec);
@@ -340,10 +347,9 @@
     });
 }
 
-/// The store is away: what is known stays in force, and a new gateway says that it knows nothing.
-/// Twenty changes within 0.6 s: one call each without a pause between watches, 60 in all.
+/// Twenty changes within 0.6 s would cost three gateways 60 calls without the pause between watches.
 #[test]
-fn changes_that_come_together_are_fetched_together() {
+fn changes_in_quick_succession_are_fetched_together() {
     with_fleet(FleetSpec { gateways: 3, ..FleetSpec::default() }, async |fleet| {
         compio::time::sleep(SECOND).await;
         let before = fleet.store.calls();
@@ -357,6 +363,7 @@
     });
 }
 
+/// During a store outage gateways keep their state; a new gateway, which has none, reports that it is not ready.
 #[test]
 fn an_outage_of_the_store_stops_no_request() {
     with_fleet(FleetSpec::default(), async |fleet| {
@@ -371,17 +378,18 @@
         let answer = fleet.caller(2).call(CHECK, "c2").await.expect("an answer");
         assert_eq!(answer.status, 503);
         assert!(answer.header("retry-after").is_some());
-        // A caller with 14 s to go waits for the store as long as it can.
+        // A summary has a timeout of 14 s; the gateway waits for the store as long as that allows.
         let answer = fleet.caller(2).summary(SUMMARY, "s2").await.expect("an answer");
-        let after: f64 = answer.header("retry-after").expect("a time").parse().expect("seconds");
-        assert!(after > 3.0 && after < 14.0 / 3.0, "{after}");
+        let retry_after: f64 =
+            answer.header("retry-after").expect("a time").parse().expect("seconds");
+        assert!(retry_after > 3.0 && retry_after < 14.0 / 3.0, "{retry_after}");
         fleet.store.set_fault(store::Fault::None);
         fleet.wait_ready(2).await;
         assert_eq!(fleet.caller(2).call(CHECK, "c3").await.expect("an answer").status, 200);
     });
 }
 
-/// A connection to the store that went silent is noticed, and what changed meanwhile is in force.
+/// A silent connection to the store is detected, and changes made meanwhile take effect.
 #[test]
 fn a_silent_store_is_followed_again_after_its_return() {
     with_fleet(FleetSpec::default(), async |fleet| {
@@ -398,7 +406,7 @@
     });
 }
 
-/// Its return is noticed within the time of a call, however long a watch would have waited.
+/// The return of the store is noticed within the timeout of one call, however long a watch may stay open.
 #[test]
 fn the_return_of_a_silent_store_is_noticed_soon() {
     with_fleet(FleetSpec::default(), async |fleet| {
@@ -414,32 +422,35 @@
     });
 }
 
-/// Registrations that lapsed with the store are back within two seconds; until then all are kept.
+/// Servers register again within two seconds after a store outage; until then expired ones are kept.
 #[test]
-fn servers_that_lapse_with_the_store_are_kept_until_it_settles() {
+fn servers_whose_registrations_expire_in_an_outage_are_kept_until_the_store_settles() {
     with_fleet(FleetSpec::default(), async |fleet| {
         fleet.store.set_fault(store::Fault::Busy);
         compio::time::sleep(SECOND / 2).await;
-        for runner in &fleet.runners {
-            fleet.store.unregister(&runner.server.borrow());
+        for backend in &fleet.runners {
+            fleet.store.unregister(&backend.server.borrow());
         }
         fleet.store.set_fault(store::Fault::None);
         compio::time::sleep(SECOND).await;
         let answer = fleet.caller(0).call(CHECK, "c1").await.expect("an answer");
-        assert_eq!(answer.status, 200, "they may still register anew");
+        assert_eq!(answer.status, 200, "the servers may still register again");
         fleet.store.register(&fleet.runners[3].server.borrow());
         compio::time::sleep(2 * SECOND).await;
         for i in 0..6 {
             fleet.caller(0).call(CHECK, &format!("d{i}")).await.expect("an answer");
         }
         let arrivals = &fleet.runners[4].seen.borrow().arrivals;
-        assert!(!arrivals.keys().any(|a| a.starts_with('d')), "the one still missing is gone");
+        assert!(
+            !arrivals.keys().any(|a| a.starts_with('d')),
+            "the server that did not register again is not used"
+        );
     });
 }
 
-/// A stop: readiness says no at once, what runs ends whole, new callers are still served for a while.
+/// On a stop, readiness fails at once, running requests complete, and new ones are still served for a while.
 #[test]
-fn a_stop_cuts_off_no_request() {
+fn a_graceful_stop_cuts_off_no_request() {
     let runner = RunnerSpec { pace: Duration::from_millis(100), ..RunnerSpec::default() };
     with_fleet(FleetSpec { runner, ..FleetSpec::default() }, async |fleet| {
         let task = summary_task(fleet, SUMMARY);
@@ -456,10 +467,10 @@
     });
 }
 
-/// All gateways may be stopping in turn: one that still has a stream to end takes checks meanwhile,
-/// and refuses summaries that it could not end.
+/// Gateways may be stopped one after the other: one that still has a stream running accepts checks meanwhile,
+/// and refuses summaries that it could not complete.
 #[test]
-fn a_stopping_gateway_takes_what_it_can_still_end() {
+fn a_stopping_gateway_accepts_requests_that_it_can_complete() {
     let runner = RunnerSpec { pace: Duration::from_millis(300), ..RunnerSpec::default() };
     with_fleet(FleetSpec { runner, ..FleetSpec::default() }, async |fleet| {
         let task = summary_task(fleet, SUMMARY);
@@ -477,22 +488,22 @@
     });
 }
 
-fn share(datagram: &[u8]) -> LoadReport {
+fn load_report(datagram: &[u8]) -> LoadReport {
     match ciborium::from_reader::<GossipMessage, _>(datagram).expect("a datagram that can be read")
     {
-        GossipMessage::Share(share) => share,
-        GossipMessage::Digest(_) => panic!("a digest goes to other zones only"),
-        GossipMessage::Notes(_) => panic!("no backend server ended or leaves"),
+        GossipMessage::Share(load_report) => load_report,
+        GossipMessage::Digest(_) => panic!("zone summaries are sent to other zones only"),
+        GossipMessage::Notes(_) => panic!("no backend server crashed or is leaving"),
         GossipMessage::Ask(_) | GossipMessage::Answer(_) | GossipMessage::Unused(..) => {
             panic!("there are no client accounts")
         }
-        GossipMessage::Age(_) | GossipMessage::Held(..) => panic!("no key can be taken away"),
+        GossipMessage::Age(_) | GossipMessage::Held(..) => panic!("there are no keys to revoke"),
     }
 }
 
-/// Among 200 peers the usual round takes more than a second; work that begins is told at once.
+/// A gossip round among 200 peers takes more than a second; new work is reported without waiting for it.
 #[test]
-fn work_that_begins_is_told_at_once() {
+fn new_work_is_reported_at_once() {
     with_fleet(FleetSpec { gateways: 1, ..FleetSpec::default() }, async |fleet| {
         let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
         let addr = socket.local_addr().expect("its address");
@@ -500,24 +511,24 @@
             let registration = format!("{{\"addr\":\"{addr}\",\"zone\":\"a\"}}");
             fleet.store.put(&format!("ebonyloft/gateways/p{i}"), registration.as_bytes(), 0);
         }
-        let hear = async || {
+        let receive_report = async || {
             let BufResult(len, buffer) = socket.recv_from(Vec::with_capacity(8 << 10)).await;
             let (len, _) = len.expect("a datagram");
-            share(&buffer[..len])
+            load_report(&buffer[..len])
         };
-        // The one of work before the peers were known may be under way.
-        compio::time::timeout(8 * SECOND, hear()).await.expect("a round");
+        // A report from before the peers were known may still be in flight.
+        compio::time::timeout(8 * SECOND, receive_report()).await.expect("a first report");
         compio::time::sleep(SECOND * 6 / 10).await;
         let task = summary_task(fleet, SUMMARY);
-        let told = async { while hear().await.work.is_empty() {} };
-        compio::time::timeout(SECOND * 4 / 10, told).await.expect("the work is told");
+        let reported = async { while receive_report().await.work.is_empty() {} };
+        compio::time::timeout(SECOND * 4 / 10, reported).await.expect("the new work is reported");
         task.await.expect("the caller's task").expect("an answer");
     });
 }
 
 #[test]
-fn orders_come_from_one_gateway_under_a_growing_fence() {
-    // Six engines, all of which write: one or two should read.
+fn orders_come_from_one_gateway_with_a_fencing_token() {
+    // Six decode engines and no prefill engine: one or two should change their stage.
     with_fleet(FleetSpec { readers: 0, writers: 6, ..FleetSpec::default() }, async |fleet| {
         let orders = |fleet: &Fleet| -> Vec<(Stage, u64)> {
             fleet.runners.iter().flat_map(|r| r.seen.borrow().orders.clone()).collect()
@@ -533,8 +544,8 @@
 fn bad_requests_reach_no_server() {
     with_fleet(FleetSpec::default(), async |fleet| {
         let caller = fleet.caller(0);
-        let nowhere = caller.call("/nowhere/a", "x1").await.expect("an answer");
-        assert_eq!(nowhere.status, 404);
+        let not_found = caller.call("/nowhere/a", "x1").await.expect("an answer");
+        assert_eq!(not_found.status, 404);
         let mut large = Request::new(Bytes::from(vec![b'x'; 5 << 20]));
         *large.method_mut() = hyper::Method::POST;
         *large.uri_mut() = CHECK.parse().expect("a path");
@@ -542,7 +553,7 @@
         if let Ok(answer) = fleet.caller(0).send(large).await {
             assert_eq!(answer.status, 413);
         }
-        assert_eq!(seen_arrivals(fleet), 0);
+        assert_eq!(arrival_count(fleet), 0);
     });
 }
 
--- a/crates/standins/tests/leaving.rs
+++ b/crates/standins/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Backend servers that leave while news of it is slow to come.
+//! Backend servers that leave while the store or the link delays their announcement.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,24 +10,25 @@
 };
 
 const SECOND: Duration = Duration::from_secs(1);
-/// Within which a leaving server must be sent nothing more.
-const BOUND: Duration = Duration::from_secs(2);
-
-/// Routes of a configuration that takes seconds over the slow link.
-const ROUTES: usize = 400;
-/// Thousandths of a core of a VM that goes before the stand-ins' gateways, and of one that follows.
-const STRONG: u32 = 8_000;
-const WEAK: u32 = 10;
-
-/// The first reader says that it leaves; another one stays.
-fn reader_leaves(fleet: &Fleet) {
-    let reader = &fleet.runners[0];
-    reader.server.borrow_mut().draining = true;
-    fleet.store.register(&reader.server.borrow());
+/// Time after which a leaving server must receive no more requests.
+const LEAVING_BOUND: Duration = Duration::from_secs(2);
+
+/// Number of routes that makes the transfer of a configuration take seconds over the slow link.
+const ROUTE_COUNT: usize = 400;
+/// CPU capacity, in thousandths of a core, of a peer that ranks before the test gateways in following the store.
+const STRONG_POWER: u32 = 8_000;
+/// The same for a peer that ranks behind the test gateways.
+const WEAK_POWER: u32 = 10;
+
+/// Registers the first prefill engine as draining; a second one stays in service.
+fn drain_first_engine(fleet: &Fleet) {
+    let engine = &fleet.runners[0];
+    engine.server.borrow_mut().draining = true;
+    fleet.store.register(&engine.server.borrow());
 }
 
-/// Sends summaries through all gateways; how many of their prompts the first reader was sent.
-async fn prompts_read(fleet: &Fleet, name: &str, count: usize) -> u64 {
+/// Sends `count` summaries through each gateway; returns how many prompts the first prefill engine processed.
+async fn prefills_at_first_engine(fleet: &Fleet, name: &str, count: usize) -> u64 {
     let before = fleet.runners[0].seen.borrow().reads;
     for n in 0..count {
         for gateway in 0..fleet.gateways.len() {
@@ -39,172 +40,184 @@
     fleet.runners[0].seen.borrow().reads - before
 }
 
-async fn assert_follows_nothing(fleet: &Fleet) {
+async fn assert_not_following(fleet: &Fleet) {
     let page = fleet.metrics(0).await;
     assert!(page.lines().any(|line| line == "ebonyloft_gateway_follows 0"), "{page}");
 }
 
-/// What operators saw: engines that had said three seconds before that they leave were still sent
-/// prompts to read, by entry VMs with links of 10 Mbit/s. Nobody got a wrong answer.
+/// Guards against an urgent update that waits behind a large transfer on the same link.
 ///
-/// Order of events: the operator wrote a configuration of some thousand routes; the watch's answer with
-/// it took seconds over such a link; an engine left meanwhile; the next watch, which would have said so,
-/// was only sent when that answer had come whole. Cause: small news that has a bound waits in line behind
-/// large news that has none.
-///
-/// Evidence: in the log of a played day, prompts went out 3.1 and 3.2 s after the leaving, in the middle
-/// of bodies of a megabyte each that took 3.7 and 3.9 s; the leaving was read right behind them.
+/// A configuration of some thousand routes took seconds over an entry VM's link of 10 Mbit/s. The next watch,
+/// which would have reported the leaving engine, was sent only after that response was complete: prompts still
+/// went to the engine 3.1 and 3.2 s after its announcement, while bodies of 1 MB took 3.7 and 3.9 s.
 #[test]
-fn a_large_configuration_on_its_way_does_not_hold_up_a_leaving() {
+fn a_large_configuration_does_not_delay_a_leaving_announcement() {
     let spec = FleetSpec { gateways: 1, readers: 2, ..FleetSpec::default() };
     with_fleet(spec, async |fleet| {
-        assert!(prompts_read(fleet, "before", 10).await > 0, "it is used until it leaves");
-        // The configuration takes some six seconds.
+        assert!(
+            prefills_at_first_engine(fleet, "before", 10).await > 0,
+            "the engine is used until it leaves"
+        );
+        // The transfer of the configuration takes about six seconds.
         fleet.store.set_rate(20 << 10);
-        fleet.configure(&large_config(2, ROUTES));
+        fleet.configure(&large_config(2, ROUTE_COUNT));
         compio::time::sleep(SECOND / 2).await;
-        reader_leaves(fleet);
-        compio::time::sleep(BOUND).await;
-        assert_eq!(prompts_read(fleet, "after", 10).await, 0, "sent to an engine that leaves");
+        drain_first_engine(fleet);
+        compio::time::sleep(LEAVING_BOUND).await;
+        assert_eq!(
+            prefills_at_first_engine(fleet, "after", 10).await,
+            0,
+            "prompts were sent to a leaving engine"
+        );
     });
 }
 
-/// The same when the history is gone and everything is listed anew.
+/// The same when the store has compacted its history and the gateway has to list everything again.
 #[test]
-fn a_list_that_takes_long_does_not_hold_up_a_leaving() {
+fn a_slow_full_listing_does_not_delay_a_leaving_announcement() {
     let spec = FleetSpec { gateways: 1, readers: 2, ..FleetSpec::default() };
     with_fleet(spec, async |fleet| {
-        fleet.configure(&large_config(2, ROUTES));
+        fleet.configure(&large_config(2, ROUTE_COUNT));
         compio::time::sleep(SECOND).await;
         fleet.store.set_rate(20 << 10);
-        reader_leaves(fleet);
+        drain_first_engine(fleet);
         fleet.store.compact();
-        compio::time::sleep(BOUND).await;
-        assert_eq!(prompts_read(fleet, "after", 10).await, 0, "sent to an engine that leaves");
+        compio::time::sleep(LEAVING_BOUND).await;
+        assert_eq!(
+            prefills_at_first_engine(fleet, "after", 10).await,
+            0,
+            "prompts were sent to a leaving engine"
+        );
     });
 }
 
-/// The same on the way from gateway to gateway: a peer that knows a new configuration sends it slowly, and
-/// tells soon what else it knows when it is asked for that alone.
+/// The same between gateways: a peer sends a new configuration slowly, and answers soon when it is asked for
+/// registry changes alone.
 #[test]
-fn a_configuration_from_a_peer_does_not_hold_up_a_leaving() {
+fn a_configuration_from_a_peer_does_not_delay_a_leaving_announcement() {
     with_peers(async |fleet, peers| {
-        let mut reader = fleet.runners[0].server.borrow().clone();
-        reader.draining = true;
+        let mut engine = fleet.runners[0].server.borrow().clone();
+        engine.draining = true;
         for peer in peers {
             peer.hear_config(&config(2, &FleetSpec::default()));
-            peer.hear_change(&reader.id.name, Registration::Server(reader.clone()), 1_000);
+            peer.hear_change(&engine.id.name, Registration::Server(engine.clone()), 1_000);
         }
-        compio::time::sleep(BOUND).await;
-        assert_eq!(prompts_read(fleet, "after", 10).await, 0, "sent to an engine that leaves");
-        assert_follows_nothing(fleet).await;
+        compio::time::sleep(LEAVING_BOUND).await;
+        assert_eq!(
+            prefills_at_first_engine(fleet, "after", 10).await,
+            0,
+            "prompts were sent to a leaving engine"
+        );
+        assert_not_following(fleet).await;
     });
 }
 
-/// Some backend servers never say that they leave: their registration is gone. Operators saw one of them
-/// used for more than three seconds after that, by a VM that does not follow the store itself.
-///
-/// Order of events: the peers that do had been cut from the store for a moment, so that a missing
-/// registration meant nothing yet; it went missing in that time; they could believe the store again, took
-/// the server as gone, and went on saying so. Cause: the VM judged by a moment read just before it heard
-/// from its peers that the store is believed from now on, each time anew, and so never got there.
+/// Guards against a gateway that never removes a server whose registration disappeared without an announcement.
 ///
-/// Evidence: in the log of a played day the VM notes the registration as missing but not to be believed,
-/// sends prompts there 3.1 and 3.4 s later, and never notes the server as gone, as its peers do.
+/// The peers that follow the store had been cut off for a moment, so a missing registration was not conclusive
+/// yet. Once they trusted the store again they reported the server as gone. The gateway, which does not follow
+/// the store itself, compared each report with a time taken just before it learned that the store was trusted
+/// again, and so never accepted one: it sent prompts there 3.1 and 3.4 s later.
 #[test]
-fn a_registration_that_went_missing_counts_as_soon_as_peers_believe_the_store() {
+fn a_missing_registration_counts_as_soon_as_peers_trust_the_store() {
     with_peers(async |fleet, peers| {
         peers.iter().for_each(|peer| peer.set_settles(500));
         compio::time::sleep(SECOND / 2).await;
-        let reader = fleet.runners[0].server.borrow().id.name.clone();
+        let engine = fleet.runners[0].server.borrow().id.name.clone();
         for peer in peers {
-            peer.hear_change(&reader, Registration::Removed, 1_000);
+            peer.hear_change(&engine, Registration::Removed, 1_000);
         }
         compio::time::sleep(SECOND).await;
-        assert!(prompts_read(fleet, "before", 10).await > 0, "it may be alive");
+        assert!(
+            prefills_at_first_engine(fleet, "before", 10).await > 0,
+            "the engine may still be alive"
+        );
         peers.iter().for_each(|peer| peer.set_settles(0));
-        compio::time::sleep(BOUND / 2).await;
-        assert_eq!(prompts_read(fleet, "after", 10).await, 0, "sent to an engine that is gone");
-        assert_follows_nothing(fleet).await;
+        compio::time::sleep(LEAVING_BOUND / 2).await;
+        assert_eq!(
+            prefills_at_first_engine(fleet, "after", 10).await,
+            0,
+            "prompts were sent to an engine that is gone"
+        );
+        assert_not_following(fleet).await;
     });
 }
 
-/// Operators saw prompts sent to engines 3.3 and 3.7 s after these had said that they leave, by a VM to
-/// which the store answered nothing, while others had heard.
-///
-/// Order of events: the VM went first in following the store for its zone; the store fell silent to it, with
-/// a watch waiting; an engine left; peers heard of it and said so several times a second; the VM asked none
-/// of them, since it took itself for well informed until its watch ran out 3.8 s after it was sent. Cause:
-/// silence was taken for "nothing new" for as long as the bound of contact allows, which is longer than a
-/// leaving engine's, and whoever leads believed itself against what all others said.
+/// Guards against a zone leader that trusts its own stale view against what all its peers report.
 ///
-/// Evidence: in the log of a played day two such VMs hear of leavings 3.6 and 3.7 s after the first gateway;
-/// no other one does later than 0.2 s.
+/// The store stopped answering the leader while a watch was open; the leader took the silence for "no changes"
+/// until the watch timed out after 3.8 s, longer than the bound for a leaving engine. It asked no peer, although
+/// all others had learned of the leaving within 0.2 s: prompts went to such engines 3.3 and 3.7 s after they had
+/// announced that they were leaving.
 #[test]
-fn who_leads_and_is_deaf_to_the_store_hears_of_a_leaving_from_peers() {
-    leader_hears_from_a_peer(store::Fault::Deaf);
+fn a_leader_with_an_unanswered_watch_learns_of_a_leaving_from_peers() {
+    assert_leader_learns_from_peer(store::Fault::Deaf);
 }
 
-/// Watches that wait are cut, and further calls find the store silent.
+/// Open watches are cut off, and further calls to the store get no answer.
 #[test]
-fn who_leads_and_is_cut_off_by_the_store_hears_of_a_leaving_from_peers() {
-    leader_hears_from_a_peer(store::Fault::Silent);
+fn a_leader_with_a_silent_store_learns_of_a_leaving_from_peers() {
+    assert_leader_learns_from_peer(store::Fault::Silent);
 }
 
 #[test]
-fn who_leads_and_is_turned_away_by_the_store_hears_of_a_leaving_from_peers() {
-    leader_hears_from_a_peer(store::Fault::Busy);
+fn a_leader_with_a_busy_store_learns_of_a_leaving_from_peers() {
+    assert_leader_learns_from_peer(store::Fault::Busy);
 }
 
 #[test]
-fn who_leads_and_gets_no_answer_of_the_store_hears_of_a_leaving_from_peers() {
-    leader_hears_from_a_peer(store::Fault::Lost);
+fn a_leader_with_lost_store_answers_learns_of_a_leaving_from_peers() {
+    assert_leader_learns_from_peer(store::Fault::Lost);
 }
 
-fn leader_hears_from_a_peer(fault: store::Fault) {
+fn assert_leader_learns_from_peer(fault: store::Fault) {
     let spec = FleetSpec { gateways: 1, readers: 2, ..FleetSpec::default() };
     with_fleet(spec, async |fleet| {
-        let peer = fleet.add_peer(WEAK).await;
+        let peer = fleet.add_peer(WEAK_POWER).await;
         compio::runtime::spawn(peer.clone().tell(fleet.gateways[0].ip)).detach();
         compio::time::sleep(SECOND).await;
         fleet.store.set_fault(fault);
-        let mut reader = fleet.runners[0].server.borrow().clone();
-        reader.draining = true;
-        peer.hear_change(&reader.id.name, Registration::Server(reader.clone()), 1_000);
-        compio::time::sleep(BOUND).await;
-        assert_eq!(prompts_read(fleet, "after", 10).await, 0, "sent to an engine that leaves");
+        let mut engine = fleet.runners[0].server.borrow().clone();
+        engine.draining = true;
+        peer.hear_change(&engine.id.name, Registration::Server(engine.clone()), 1_000);
+        compio::time::sleep(LEAVING_BOUND).await;
+        assert_eq!(
+            prefills_at_first_engine(fleet, "after", 10).await,
+            0,
+            "prompts were sent to a leaving engine"
+        );
     });
 }
 
-/// Without a peer that knows more nothing can be heard; the VM says so in time and serves on.
+/// Without a better informed peer the gateway reports in time that the store is away, and goes on serving.
 #[test]
-fn a_store_that_is_silent_is_noticed_within_the_shortest_bound() {
+fn a_silent_store_is_reported_within_the_leaving_bound() {
     let spec = FleetSpec { gateways: 1, ..FleetSpec::default() };
     with_fleet(spec, async |fleet| {
         compio::time::sleep(SECOND).await;
         fleet.store.set_fault(store::Fault::Deaf);
-        compio::time::sleep(BOUND * 3 / 4).await;
+        compio::time::sleep(LEAVING_BOUND * 3 / 4).await;
         let page = fleet.metrics(0).await;
-        let away = |line: &str| line.starts_with("ebonyloft_gateway_store_away");
-        assert!(page.lines().any(away), "{page}");
+        let is_store_away = |line: &str| line.starts_with("ebonyloft_gateway_store_away");
+        assert!(page.lines().any(is_store_away), "{page}");
         let answer = fleet.caller(0).call(CHECK, "c1").await.expect("an answer");
         assert_eq!(answer.status, 200);
     });
 }
 
-/// A gateway that hears of the store from two peers only, which know nothing new yet.
+/// Runs `body` with a gateway that follows two peers instead of the store; they have no updates yet.
 fn with_peers(body: impl AsyncFnOnce(&Fleet, &[Rc<Peer>])) {
     let spec = FleetSpec { gateways: 0, readers: 2, ..FleetSpec::default() };
     with_fleet(spec, async |fleet| {
-        let peers = [fleet.add_peer(STRONG).await, fleet.add_peer(STRONG).await];
+        let peers = [fleet.add_peer(STRONG_POWER).await, fleet.add_peer(STRONG_POWER).await];
         fleet.add_gateway();
         for peer in &peers {
             compio::runtime::spawn(peer.clone().tell(fleet.gateways[0].ip)).detach();
         }
         fleet.wait_ready(0).await;
-        // It hears that both follow the store, and stops to.
+        // The gateway learns that both peers follow the store, and stops following it.
         compio::time::sleep(3 * SECOND).await;
-        assert_follows_nothing(fleet).await;
+        assert_not_following(fleet).await;
         body(fleet, &peers).await;
     });
 }
--- a/crates/standins/tests/limits.rs
+++ b/crates/standins/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that backend servers name in their answers: for all gateways together.
+//! Rate limits that backend servers announce in their responses: all gateways together keep them.
 
 use std::time::{Duration, Instant};
 
@@ -7,22 +7,22 @@
     CHECK, Fleet, FleetSpec, LOOKUP, ONCE_SUMMARY, SUMMARY, with_fleet,
 };
 
-/// Requests a second that a server names.
+/// Requests per second that a server announces.
 const LIMIT: f64 = 5.0;
-/// Time after which the limit must be kept.
-const CONTACT: Duration = Duration::from_secs(3);
-/// Any span of this length counts.
+/// Time after which all gateways must keep the limit.
+const CONTACT_BOUND: Duration = Duration::from_secs(3);
+/// Length of the windows in which arrivals are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Part of the limit that may arrive in a window.
-const PART: f64 = 1.5;
-/// Requests beside that.
+/// Multiple of the limit that may arrive in a window.
+const LIMIT_FACTOR: f64 = 1.5;
+/// Requests allowed in a window in addition.
 const SLACK: f64 = 5.0;
-/// Pause between two requests.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Time between two requests.
+const SEND_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Sends requests of these kinds through all gateways in turn; gives statuses of those that were answered.
-async fn send(fleet: &Fleet, name: &str, paths: &[&str], lasts: Duration) -> Vec<u16> {
-    let (end, mut n, mut tasks) = (Instant::now() + lasts, 0, Vec::new());
+/// Sends requests to these paths through all gateways in turn; returns their statuses, 0 without an answer.
+async fn send(fleet: &Fleet, name: &str, paths: &[&str], duration: Duration) -> Vec<u16> {
+    let (end, mut n, mut tasks) = (Instant::now() + duration, 0, Vec::new());
     while Instant::now() < end {
         let (caller, path) = (fleet.caller(n % fleet.gateways.len()), paths[n % paths.len()]);
         let (path, attempt) = (path.to_owned(), format!("{name}{n}"));
@@ -34,7 +34,7 @@
             answer.map_or(0, |a| a.status)
         }));
         n += 1;
-        compio::time::sleep(PAUSE).await;
+        compio::time::sleep(SEND_INTERVAL).await;
     }
     let mut statuses = Vec::new();
     for task in tasks {
@@ -43,9 +43,9 @@
     statuses
 }
 
-/// Most requests that a server got in a window that begins later than a moment.
-fn most(fleet: &Fleet, runner: usize, since: Instant) -> usize {
-    let seen = fleet.runners[runner].seen.borrow();
+/// Largest number of requests that a server received in any window starting at `since` or later.
+fn max_in_window(fleet: &Fleet, backend: usize, since: Instant) -> usize {
+    let seen = fleet.runners[backend].seen.borrow();
     let all = seen.taken.iter().chain(&seen.given_back);
     let taken: Vec<Instant> = all.copied().filter(|at| *at >= since).collect();
     let count =
@@ -53,58 +53,63 @@
     taken.iter().map(count).max().unwrap_or(0)
 }
 
-fn allowed() -> usize {
-    (PART * LIMIT * WINDOW.as_secs_f64() + SLACK) as usize
+fn window_limit() -> usize {
+    (LIMIT_FACTOR * LIMIT * WINDOW.as_secs_f64() + SLACK) as usize
 }
 
 #[test]
-fn a_plain_server_that_names_a_limit_gets_no_more_from_all_gateways() {
-    // Slower than a server of which nothing is known is taken to be, so that all three are tried.
+fn a_plain_server_that_announces_a_limit_gets_no_more_from_all_gateways() {
+    // Slower than the estimate for an unknown server, so that all three servers are tried.
     let runner = RunnerSpec { call: Duration::from_millis(45), ..RunnerSpec::default() };
     let spec = FleetSpec { gateways: 4, plain: 3, runner, ..FleetSpec::default() };
     with_fleet(spec, async |fleet| {
         let limited = fleet.runners.len() - 1;
         fleet.runners[limited].name_limit(Some("5"));
-        let since = Instant::now() + CONTACT;
-        let answers = send(fleet, "a", &[CHECK, LOOKUP], CONTACT + WINDOW * 3 / 2).await;
-        let most = most(fleet, limited, since);
-        println!("{most} in a window, {} allowed", allowed());
-        assert!(most <= allowed(), "{most} requests in a window, {} allowed", allowed());
+        let since = Instant::now() + CONTACT_BOUND;
+        let answers = send(fleet, "a", &[CHECK, LOOKUP], CONTACT_BOUND + WINDOW * 3 / 2).await;
+        let most = max_in_window(fleet, limited, since);
+        println!("{most} in a window, {} allowed", window_limit());
+        assert!(most <= window_limit(), "{most} requests in a window, {} allowed", window_limit());
         assert!(most >= 8, "only {most} requests in a window: the server is not used");
         assert!(answers.iter().all(|status| *status == 200), "{answers:?}");
     });
 }
 
 #[test]
-fn engines_that_name_a_limit_get_no_more_from_all_gateways() {
+fn engines_that_announce_a_limit_get_no_more_from_all_gateways() {
     let spec = FleetSpec { gateways: 4, readers: 2, writers: 3, ..FleetSpec::default() };
     with_fleet(spec, async |fleet| {
-        // A reader and a writer.
+        // A prefill engine and a decode engine.
         let limited = [0, 2];
         limited.iter().for_each(|n| fleet.runners[*n].name_limit(Some("5")));
-        let since = Instant::now() + CONTACT;
-        let answers = send(fleet, "a", &[SUMMARY, ONCE_SUMMARY], CONTACT + WINDOW * 3 / 2).await;
+        let since = Instant::now() + CONTACT_BOUND;
+        let answers =
+            send(fleet, "a", &[SUMMARY, ONCE_SUMMARY], CONTACT_BOUND + WINDOW * 3 / 2).await;
         for n in limited {
-            let most = most(fleet, n, since);
-            println!("server {n}: {most} in a window, {} allowed", allowed());
-            assert!(most <= allowed(), "server {n}: {most} in a window, {} allowed", allowed());
+            let most = max_in_window(fleet, n, since);
+            println!("server {n}: {most} in a window, {} allowed", window_limit());
+            assert!(
+                most <= window_limit(),
+                "server {n}: {most} in a window, {} allowed",
+                window_limit()
+            );
         }
         let served = answers.iter().filter(|status| **status == 200).count();
         assert!(served * 10 >= answers.len() * 9, "{served} of {} served", answers.len());
     });
 }
 
-/// A prompt that is not used is not given back to a reader in need: it lapses by itself.
+/// An unused prompt is not released at a prefill engine that is at its limit: it expires by itself.
 #[test]
-fn what_is_given_back_does_not_pass_a_limit() {
+fn releases_do_not_exceed_a_limit() {
     let spec = FleetSpec { gateways: 4, readers: 1, writers: 6, ..FleetSpec::default() };
     with_fleet(spec, async |fleet| {
         fleet.runners[0].name_limit(Some("5"));
         fleet.runners[1..7].iter().for_each(|r| r.set_fault(Fault::Errors));
-        let since = Instant::now() + CONTACT;
-        send(fleet, "a", &[SUMMARY, ONCE_SUMMARY], CONTACT + WINDOW * 3 / 2).await;
-        let most = most(fleet, 0, since);
-        println!("{most} in a window, {} allowed", allowed());
-        assert!(most <= allowed(), "{most} in a window, {} allowed", allowed());
+        let since = Instant::now() + CONTACT_BOUND;
+        send(fleet, "a", &[SUMMARY, ONCE_SUMMARY], CONTACT_BOUND + WINDOW * 3 / 2).await;
+        let most = max_in_window(fleet, 0, since);
+        println!("{most} in a window, {} allowed", window_limit());
+        assert!(most <= window_limit(), "{most} in a window, {} allowed", window_limit());
     });
 }
--- a/crates/standins/tests/registrations.rs
+++ b/crates/standins/tests/registrations.rs
@@ -1,14 +1,14 @@
-//! Registrations as others may write them, on real sockets: wrong ones, and a name in its next life.
+//! Registrations written by other programs: malformed ones, and names that a new incarnation uses again.
 
 use std::time::Duration;
 
 use ebonyloft_router::catalog::ServerId;
 use ebonyloft_standins::fleet::{CHECK, Fleet, FleetSpec, PLAIN, SUMMARY, with_fleet};
 
-/// Longer than a change needs to be in force.
-const SETTLED: Duration = Duration::from_millis(600);
+/// Longer than a change in the store takes to have effect.
+const APPLY_TIME: Duration = Duration::from_millis(600);
 
-async fn all_served(fleet: &Fleet, from: u32) {
+async fn assert_all_served(fleet: &Fleet, from: u32) {
     let caller = fleet.caller(0);
     for i in from..from + 6 {
         let check = caller.call(CHECK, &format!("c{i}")).await.expect("an answer");
@@ -18,13 +18,13 @@
     }
 }
 
-/// Work that reached a backend server so far.
-fn arrivals(fleet: &Fleet, runner: usize) -> usize {
-    fleet.runners[runner].seen.borrow().arrivals.len()
+/// Requests that reached a backend server so far.
+fn arrivals(fleet: &Fleet, backend: usize) -> usize {
+    fleet.runners[backend].seen.borrow().arrivals.len()
 }
 
 #[test]
-fn wrong_entries_are_not_used_and_spoil_no_others() {
+fn malformed_registrations_are_ignored_and_do_not_affect_others() {
     with_fleet(FleetSpec { plain: 3, ..FleetSpec::default() }, async |fleet| {
         let addr = fleet.runners[4].server.borrow().addr;
         for (i, value) in ["", "7", "{\"service\":", "{\"service\":\"plain\"}"].iter().enumerate() {
@@ -35,13 +35,14 @@
             "state":"resting","sequence":1,"cold_remaining_ms":0}}"#
         );
         fleet.store.put("servers/i-wrong-state", state.as_bytes(), 0);
-        all_served(fleet, 0).await;
-        // A good one turns bad: it gets nothing more, in the watch and for a gateway that lists anew.
+        assert_all_served(fleet, 0).await;
+        // A valid registration becomes malformed: its server gets no more requests, neither from a gateway
+        // that watches the store nor from a new one that lists it.
         let name = fleet.runners[4].server.borrow().id.name.clone();
         fleet.store.put(&format!("servers/{name}"), state.as_bytes(), 0);
-        compio::time::sleep(SETTLED).await;
+        compio::time::sleep(APPLY_TIME).await;
         let before = arrivals(fleet, 4);
-        all_served(fleet, 10).await;
+        assert_all_served(fleet, 10).await;
         fleet.add_gateway();
         fleet.wait_ready(1).await;
         for i in 0..6 {
@@ -49,27 +50,27 @@
             assert_eq!(check.status, 200);
         }
         assert_eq!(arrivals(fleet, 4), before);
-        // It writes a good one again, and is the only one that is left.
+        // The server registers correctly again and is the only plain one left.
         fleet.store.register(&fleet.runners[4].server.borrow());
-        for runner in [3, 5] {
-            fleet.store.unregister(&fleet.runners[runner].server.borrow());
+        for backend in [3, 5] {
+            fleet.store.unregister(&fleet.runners[backend].server.borrow());
         }
-        compio::time::sleep(SETTLED).await;
-        all_served(fleet, 20).await;
+        compio::time::sleep(APPLY_TIME).await;
+        assert_all_served(fleet, 20).await;
         assert_eq!(arrivals(fleet, 4), before + 6);
     });
 }
 
 #[test]
-fn a_name_in_its_next_life_serves_as_an_engine_of_its_own() {
+fn a_new_incarnation_under_the_same_name_is_a_new_server() {
     with_fleet(FleetSpec::default(), async |fleet| {
-        all_served(fleet, 0).await;
-        for runner in &fleet.runners {
-            let mut server = runner.server.borrow_mut();
+        assert_all_served(fleet, 0).await;
+        for backend in &fleet.runners {
+            let mut server = backend.server.borrow_mut();
             server.id = ServerId::new(server.id.name.clone(), server.id.born + 5_000);
             fleet.store.register(&server);
         }
-        compio::time::sleep(SETTLED).await;
-        all_served(fleet, 10).await;
+        compio::time::sleep(APPLY_TIME).await;
+        assert_all_served(fleet, 10).await;
     });
 }
