--- a/crates/standins/tests/accounts.rs
+++ b/crates/standins/tests/accounts.rs
@@ -21,7 +21,7 @@
     AccountSpec { name: name.to_owned(), keys, quota, plain: 200, ..AccountSpec::default() }
 }
 
-fn spec(gateways: usize, accounts: Vec<ServedAccount>) -> FleetSpec {
+fn spec(gateways: usize, accounts: Vec<AccountSpec>) -> FleetSpec {
     let (accounts, revoke) = (Some(accounts), Some(REVOKE_BOUND));
     FleetSpec { gateways, accounts, revoke, ..FleetSpec::default() }
 }
