--- a/crates/core/tests/route.rs
+++ b/crates/core/tests/route.rs
@@ -1,4 +1,4 @@
-//! Which executor an entry chooses by what it sent to each.
+//! Choice of an executor by the number of admissions sent to each.
 
 use std::time::Duration;
 
@@ -6,12 +6,12 @@
 use ebonyloft_core::ids::{Account, Incarnation, Key, MemberId, Peer, Zone};
 use ebonyloft_core::message::{PlainCall, Repeat, Work};
 use ebonyloft_core::request::{Intent, Spec};
-use ebonyloft_core::route::{Earliest, PoolView};
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::route::{EarliestSlot, PoolView};
+use ebonyloft_core::time::Timestamp;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-const NOW: Moment = Moment::from_millis(100_000);
+const NOW: Timestamp = Timestamp::from_millis(100_000);
 const HOLD: Duration = Duration::from_millis(20);
 
 fn peer(n: usize) -> Peer {
@@ -24,8 +24,8 @@
     pool
 }
 
-/// A check whose first byte is wanted within 150 ms.
-fn check() -> Spec {
+/// An at-most-once call whose first byte is wanted within 150 ms.
+fn at_most_once_spec() -> Spec {
     let call = PlainCall {
         method: "POST".into(),
         path: String::new(),
@@ -41,21 +41,21 @@
         first_by: NOW.after(Duration::from_millis(150)),
         deadline: NOW.after(Duration::from_secs(1)),
         repeat: Repeat::Once,
-        split: false,
+        remote_prefill: false,
         work: Work::Plain(call),
         avoid: Vec::new(),
     }
 }
 
-fn choose(pool: &mut PoolView) -> Result<Peer, Option<Moment>> {
-    let mut policy = Earliest { zone: Zone::default() };
-    pool.executor(NOW, &check(), HOLD, &mut policy, &mut ChaCha8Rng::seed_from_u64(1))
+fn choose(pool: &mut PoolView) -> Result<Peer, Option<Timestamp>> {
+    let mut policy = EarliestSlot { zone: Zone::default() };
+    pool.executor(NOW, &at_most_once_spec(), HOLD, &mut policy, &mut ChaCha8Rng::seed_from_u64(1))
 }
 
-/// Repeats find the attempt that there is, and send no admission: servers whose load is not known yet
-/// are not taken for full.
+/// Guards against counting choices instead of admissions. Retries that join an existing attempt
+/// send no admission; when they were counted, servers whose load was not known yet looked full.
 #[test]
-fn choices_that_send_nothing_fill_no_server() {
+fn choices_without_an_admission_do_not_fill_a_server() {
     let mut pool = pool(2);
     for _ in 0..40 {
         assert!(choose(&mut pool).is_ok());
@@ -63,11 +63,11 @@
 }
 
 #[test]
-fn what_was_sent_since_the_last_report_counts() {
+fn admissions_since_the_last_report_count() {
     let mut pool = pool(1);
     for _ in 0..8 {
-        let executor = choose(&mut pool).expect("it has room");
-        pool.sent(&executor);
+        let executor = choose(&mut pool).expect("a slot is free");
+        pool.on_sent(&executor);
     }
-    assert!(choose(&mut pool).is_err(), "eight of 20 ms each come first");
+    assert!(choose(&mut pool).is_err(), "eight requests of 20 ms each are ahead");
 }
--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -1,28 +1,28 @@
-//! The gateway: everything between callers and backend servers, on an entry VM.
+//! The gateway, which forwards callers' requests to backend servers. It runs on an entry VM.
 //!
-//! It holds nothing that must last. What it believes comes from the platform's store and from its
-//! peers; what it decides is in `ebonyloft-router`; what the wire calls things is in
+//! It keeps no persistent state. Its view of the system comes from the platform's store and from
+//! peer gateways. Decisions are made in `ebonyloft-router`; the names on the wire are defined in
 //! `ebonyloft-platform`.
 
+pub mod announcements;
 pub mod answer;
-pub mod belief;
 pub mod call;
 pub mod digest;
+pub mod gossip;
 pub mod ingress;
 pub mod intake;
 pub mod keys;
 pub mod limits;
-pub mod notes;
 pub mod orders;
 pub mod peers;
 pub mod pool;
 pub mod quarantine;
 pub mod quota;
-pub mod register;
+pub mod registration;
 pub mod retries;
-pub mod said;
 pub mod send;
 pub mod shared;
+pub mod state_sync;
 pub mod store;
 pub mod stream;
 pub mod uploads;
@@ -48,34 +48,34 @@
 use self::digest::Digester;
 use self::shared::Shared;
 use crate::clock::Clock;
-use crate::metrics::{Metrics, Registry};
+use crate::metrics::{Metrics, MetricsRegistry};
 use crate::{http, logs};
 
-/// Shortest time from a stop to the end: the platform notices after two readiness checks, one a
-/// second, and a margin.
-const LINGER: Duration = Duration::from_millis(3_000);
-/// Left of the grace period when the last streams are broken off.
-const LAST_MARGIN: Duration = Duration::from_millis(300);
-/// Pause between two looks at what is still open while stopping.
-const STOP_LOOK: Duration = Duration::from_millis(50);
-/// Pause between two rounds of upkeep: beliefs that settle, connections that idle.
-const UPKEEP: Duration = Duration::from_millis(250);
-/// Upkeep rounds between two looks at the settings file.
+/// Shortest time between the stop signal and the exit: the platform notices after two readiness
+/// checks, one a second; the rest is a margin.
+const MIN_SHUTDOWN: Duration = Duration::from_millis(3_000);
+/// Time before the end of the grace period at which the remaining streams are cut off.
+const CUTOFF_MARGIN: Duration = Duration::from_millis(300);
+/// Interval between checks for open requests while stopping.
+const STOP_POLL: Duration = Duration::from_millis(50);
+/// Interval between upkeep rounds.
+const UPKEEP_INTERVAL: Duration = Duration::from_millis(250);
+/// Upkeep rounds between two reads of the settings file.
 const RELOAD_ROUNDS: u64 = 8;
 
-/// A gateway's own settings.
+/// Options of a gateway process.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The platform's settings file.
+    /// Path of the platform's settings file.
     pub file: PathBuf,
     /// Port of the metrics page.
     pub metrics_port: u16,
-    /// Key of the digests of what requests ask for; the same at all gateways.
+    /// Key of the keyed request digests; the same at all gateways.
     pub digest_key: String,
 }
 
-/// Runs until `stop` resolves and everything under way has ended; `hup` gives a message for each
-/// signal that the settings file changed.
+/// Runs until `stop` resolves and all open requests have ended. `hup` handles the signals that
+/// announce a changed settings file.
 pub async fn run(
     node: Node,
     options: Options,
@@ -83,62 +83,62 @@
     hup: impl Future<Output = ()> + 'static,
 ) -> io::Result<()> {
     let clock = Clock::default();
-    let (metrics, registry) = Metrics::kept(&node.name);
+    let (metrics, registry) = Metrics::in_memory(&node.name);
     let rng = ChaCha8Rng::from_os_rng();
     let digester = Digester::new(options.digest_key.as_bytes());
     let shared = Shared::new(node, clock, rng, metrics, digester);
     let node = shared.node();
     let (close, closing) = oneshot::channel();
-    start(&shared, &node, &options, registry, closing.shared(), hup).await?;
+    start_tasks(&shared, &node, &options, registry, closing.shared(), hup).await?;
     tracing::info!(name = %node.name, zone = %node.zone, version = env!("CARGO_PKG_VERSION"), "started");
     stop.await;
-    let asked = shared.now();
-    shared.stopping.set(Some(asked));
-    tracing::info!(open = shared.open.get(), "stopping");
-    compio::time::sleep(LINGER).await;
-    let end = asked.after(node.bounds.grace).before(LAST_MARGIN);
-    while shared.open.get() > 0 && shared.now() < end {
-        compio::time::sleep(STOP_LOOK).await;
+    let stopped_at = shared.now();
+    shared.stopping.set(Some(stopped_at));
+    tracing::info!(open = shared.open_requests.get(), "stopping");
+    compio::time::sleep(MIN_SHUTDOWN).await;
+    let end = stopped_at.after(node.bounds.grace).before(CUTOFF_MARGIN);
+    while shared.open_requests.get() > 0 && shared.now() < end {
+        compio::time::sleep(STOP_POLL).await;
     }
-    // Until now callers were taken, since others may be stopping too. Connections without a request
-    // are closed first, the others behind their answers.
+    // Callers were accepted until now, since other gateways may be stopping too. Idle connections
+    // are closed first, the others after their answers.
     let _ = close.send(());
-    compio::time::sleep(STOP_LOOK).await;
-    tracing::info!(open = shared.open.get(), "stopped");
+    compio::time::sleep(STOP_POLL).await;
+    tracing::info!(open = shared.open_requests.get(), "stopped");
     Ok(())
 }
 
-async fn start(
+async fn start_tasks(
     shared: &Rc<Shared>,
     node: &Node,
     options: &Options,
-    registry: Registry,
+    registry: MetricsRegistry,
     closing: ingress::Closing,
     hup: impl Future<Output = ()> + 'static,
 ) -> io::Result<()> {
-    let missing = || io::Error::other("the settings name no address for callers");
-    let callers = TcpListener::bind(node.callers.ok_or_else(missing)?).await?;
+    let no_address = || io::Error::other("the settings have no address for callers");
+    let callers = TcpListener::bind(node.callers.ok_or_else(no_address)?).await?;
     let peer_addr = SocketAddr::from((node.ip, node.peer_port));
     let peers = TcpListener::bind(peer_addr).await?;
     let socket = Rc::new(UdpSocket::bind(peer_addr).await?);
     if let Some(addr) = node.ready {
         let ready = TcpListener::bind(addr).await?;
         let me = shared.clone();
-        spawn(http::serve(ready, move |req| readiness(me.clone(), req), never()));
+        spawn(http::serve(ready, move |req| readiness(me.clone(), req), never_closing()));
     }
     let page = TcpListener::bind((node.ip, options.metrics_port)).await?;
-    spawn(http::serve(page, move |_| metrics_page(registry.clone()), never()));
+    spawn(http::serve(page, move |_| metrics_page(registry.clone()), never_closing()));
     spawn(ingress::serve(shared.clone(), callers, closing));
-    let sink = Box::new(watch::Prefixes::new(shared));
-    spawn(watch::follow(shared.clone(), watch::EVERYTHING, sink));
-    spawn(register::keep(shared.clone()));
+    let sink = Box::new(watch::PrefixRouter::new(shared));
+    spawn(watch::follow(shared.clone(), watch::ALL_KEYS, sink));
+    spawn(registration::keep_registered(shared.clone()));
     spawn(peers::serve(shared.clone(), peers));
-    spawn(peers::tell(shared.clone(), socket.clone()));
-    spawn(peers::tell_zones(shared.clone(), socket.clone()));
-    spawn(notes::tell(shared.clone(), socket.clone()));
-    spawn(peers::post(shared.clone(), socket.clone()));
-    spawn(keys::keep_recent(shared.clone()));
-    spawn(peers::hear(shared.clone(), socket));
+    spawn(peers::send_load_reports(shared.clone(), socket.clone()));
+    spawn(peers::send_zone_summaries(shared.clone(), socket.clone()));
+    spawn(gossip::broadcast(shared.clone(), socket.clone()));
+    spawn(peers::send_messages(shared.clone(), socket.clone()));
+    spawn(keys::keep_fresh(shared.clone()));
+    spawn(peers::receive(shared.clone(), socket));
     spawn(quarantine::run(shared.clone()));
     spawn(orders::run(shared.clone()));
     spawn(upkeep(shared.clone(), options.file.clone()));
@@ -150,64 +150,65 @@
     compio::runtime::spawn(task).detach();
 }
 
-fn never() -> Rc<Cell<bool>> {
+fn never_closing() -> Rc<Cell<bool>> {
     Rc::new(Cell::new(false))
 }
 
 async fn readiness(shared: Rc<Shared>, _req: Request<Incoming>) -> Response<http::Body> {
     let status = if shared.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-    http::response(status, "text/plain", http::full(""))
+    http::response(status, "text/plain", http::full_body(""))
 }
 
-async fn metrics_page(registry: Registry) -> Response<http::Body> {
-    http::response(StatusCode::OK, "text/plain", http::full(registry.page()))
+async fn metrics_page(registry: MetricsRegistry) -> Response<http::Body> {
+    http::response(StatusCode::OK, "text/plain", http::full_body(registry.render()))
 }
 
-/// What must happen from time to time: beliefs settle, records of the gone are dropped, idle
-/// connections closed, settings read again.
+/// Periodic upkeep: settles the server registry, drops the state of servers that are gone, closes
+/// idle connections and reloads the settings.
 async fn upkeep(shared: Rc<Shared>, file: PathBuf) {
     let mut round = 0_u64;
     let mut logged = 0;
     loop {
-        compio::time::sleep(UPKEEP).await;
+        compio::time::sleep(UPKEEP_INTERVAL).await;
         round += 1;
-        shared.judge_role();
-        // Read only now: who hears of the store from peers believes it as of the moment that their word
-        // is taken, and would by an earlier one never take a missing registration as gone.
+        shared.update_role();
+        // The clock is read only here. A gateway that learns the store's state from peers dates its
+        // view by when it applies their message; compared with an earlier timestamp, a missing
+        // registration would never count as gone.
         let now = shared.now();
-        if shared.fresh.borrow().settled(now) {
-            for server in shared.roster.borrow_mut().settle() {
-                tracing::info!(server, "backend server is gone: not registered anew");
+        if shared.store_state.borrow().is_trusted(now) {
+            for server in shared.roster.borrow_mut().remove_missing() {
+                tracing::info!(server, "backend server is gone: it was not registered again");
             }
         }
         shared.pool.expire(now);
-        shared.shares.borrow_mut().expire(now);
-        shared.digests.borrow_mut().expire(now);
+        shared.load_reports.borrow_mut().expire(now);
+        shared.zone_summaries.borrow_mut().expire(now);
         shared.fleet.borrow_mut().expire(now);
-        shared.drift.borrow_mut().expire(now);
-        shared.pauses.borrow_mut().expire(now);
+        shared.divergence.borrow_mut().expire(now);
+        shared.back_offs.borrow_mut().expire(now);
         quota::expire(&shared);
         shared.measure_memory();
         let roster = shared.roster.borrow();
-        shared.plain.borrow_mut().retain(|id| roster.get(id).is_some());
+        shared.plain_servers.borrow_mut().retain(|id| roster.get(id).is_some());
         shared.engines.borrow_mut().retain(|id| roster.get(id).is_some());
-        shared.paces.borrow_mut().retain(|id| roster.get(id).is_some());
+        shared.speed_factors.borrow_mut().retain(|id| roster.get(id).is_some());
         shared.limits.borrow_mut().retain(|id| roster.get(id).is_some());
         drop(roster);
         if let Some(config) = shared.config() {
-            let named = |name: &str| config.routes.iter().any(|r| r.name == name);
-            shared.patience.borrow_mut().retain(named);
-            let served = |name: &str| config.service(name).is_some();
-            shared.learned.borrow_mut().retain(named, served);
-            shared.lines.borrow_mut().retain(|name, _| served(name));
+            let has_route = |name: &str| config.routes.iter().any(|r| r.name == name);
+            shared.caller_deadlines.borrow_mut().retain(has_route);
+            let has_service = |name: &str| config.service(name).is_some();
+            shared.traffic_stats.borrow_mut().retain(has_route, has_service);
+            shared.admission_queues.borrow_mut().retain(|name, _| has_service(name));
         }
-        let dropped = logs::dropped();
+        let dropped = logs::dropped_lines();
         if dropped > logged {
-            tracing::warn!(lines = dropped - logged, "log lines left out: too many in a second");
+            tracing::warn!(lines = dropped - logged, "log lines dropped: too many in one second");
             logged = dropped;
         }
-        shared.metrics.gauge("gateway.open", shared.open.get() as u64);
-        shared.metrics.gauge("gateway.list_age_ms", shared.basis().age);
+        shared.metrics.gauge("gateway.open", shared.open_requests.get() as u64);
+        shared.metrics.gauge("gateway.list_age_ms", shared.snapshot_version().age);
         shared.metrics.gauge("gateway.waiting", shared.engines.borrow().waiting() as u64);
         if round.is_multiple_of(RELOAD_ROUNDS) {
             reload(&shared, &file);
@@ -215,7 +216,7 @@
     }
 }
 
-/// Reads the settings again; bad ones leave those in force.
+/// Reloads the settings file; the current settings stay in force if it is invalid.
 fn reload(shared: &Shared, file: &std::path::Path) {
     match settings::read(file) {
         Ok(node) if node == *shared.node() => {}
@@ -223,6 +224,8 @@
             tracing::info!(name = %node.name, zone = %node.zone, "settings reloaded");
             *shared.node.borrow_mut() = Rc::new(node);
         }
-        Err(e) => tracing::error!(error = %e, "settings not reloaded; the old ones stay in force"),
+        Err(e) => {
+            tracing::error!(error = %e, "cannot reload the settings; the old ones stay in force")
+        }
     }
 }
--- a/crates/daemon/src/gateway/digest.rs
+++ b/crates/daemon/src/gateway/digest.rs
@@ -1,32 +1,33 @@
-//! Digests of what requests ask for, the same at all gateways of a system.
+//! Keyed digests of request contents. All gateways of a system compute the same digest for the
+//! same request.
 
-use ebonyloft_router::content::Content;
+use ebonyloft_router::request_digest::RequestDigest;
 use hmac::{Hmac, Mac};
 use hyper::{Method, Uri};
 use sha2::Sha256;
 
-/// Makes digests under a key.
+/// Computes keyed digests (HMAC-SHA-256).
 pub struct Digester {
-    /// With the key taken in; cloned for each request.
+    /// Initialised with the key; cloned for each request.
     mac: Hmac<Sha256>,
 }
 
 impl Digester {
-    /// With a key that all gateways of the system share.
+    /// Creates a digester with the key that all gateways of the system share.
     pub fn new(key: &[u8]) -> Self {
-        Digester { mac: Hmac::new_from_slice(key).expect("a key of any length is taken") }
+        Digester { mac: Hmac::new_from_slice(key).expect("HMAC accepts keys of any length") }
     }
 
-    /// The digest of a request of the named account, empty for none. Each part is preceded by its length, so that none can pass for a part of
-    /// another one.
-    pub fn content(
+    /// Digest of a request; `account` is empty if the request has none. Each part is preceded by
+    /// its length, so that two different requests never hash the same bytes.
+    pub fn request_digest(
         &self,
         account: &str,
         method: &Method,
         host: &str,
         uri: &Uri,
         body: &[u8],
-    ) -> Content {
+    ) -> RequestDigest {
         let mut mac = self.mac.clone();
         let target = uri.path_and_query().map_or("", |p| p.as_str());
         let (account, method) = (account.as_bytes(), method.as_str().as_bytes());
@@ -35,6 +36,6 @@
             mac.update(part);
         }
         let digest = mac.finalize().into_bytes();
-        Content::of(std::array::from_fn(|i| digest[i]))
+        RequestDigest::of(std::array::from_fn(|i| digest[i]))
     }
 }
--- a/crates/daemon/src/gateway/ingress.rs
+++ b/crates/daemon/src/gateway/ingress.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: reading requests, finding their route, handing them on.
+//! Callers' connections: reads requests, finds their routes and starts a task for each.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -9,13 +9,13 @@
 use compio::net::{TcpListener, TcpStream};
 use cyper_core::{CompioTimer, HyperStream};
 use ebonyloft_core::ids::Account;
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_core::verdict::Verdict;
 use ebonyloft_platform::headers;
 use ebonyloft_router::accounts::Credential;
 use ebonyloft_router::catalog::{Config, Kind, Limits, Route};
-use ebonyloft_router::content::Content;
-use ebonyloft_router::{comeback, routes};
+use ebonyloft_router::request_digest::RequestDigest;
+use ebonyloft_router::{retry_after, routes};
 use futures_channel::oneshot;
 use futures_util::future::{Either, Shared as SharedFuture, select};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
@@ -27,24 +27,25 @@
 
 use super::answer::{self, Body, Cause};
 use super::intake::Intake;
-use super::shared::{Basis, Shared};
+use super::shared::{Shared, SnapshotVersion};
 use super::{call, keys, quarantine, quota, stream};
 use crate::http;
 
-/// Digits of a key's digest in the log: enough to find it, not enough to confirm a guess.
+/// Hex digits of a key's digest in the log: enough to find the key, too few to confirm a guess.
 const KEY_DIGITS: usize = 8;
-/// Callers' request heads have no more headers than this; a guard for memory.
+/// Most headers of a caller's request; bounds the memory for it.
 const HEADERS_MAX: usize = 100;
-/// Smallest read buffer that the HTTP library allows.
+/// Smallest read buffer that hyper allows.
 const BUFFER_MIN: usize = 8 << 10;
 
-/// How long streams are taken after a stop was asked for. The platform sends callers elsewhere after
-/// two readiness checks, one a second, and what is taken by then has most of the grace period.
-const STREAMS_TAKEN: Duration = Duration::from_millis(2_800);
-/// Left of the grace period when short calls are no longer taken: the longest of their deadlines.
-const CALLS_LEFT: Duration = Duration::from_millis(1_500);
+/// How long streams are accepted after the stop signal. The platform sends callers elsewhere after
+/// two readiness checks, one a second; a stream accepted by then has most of the grace period left.
+const STREAMS_ACCEPTED: Duration = Duration::from_millis(2_800);
+/// Time left of the grace period below which short calls are refused: the longest of their
+/// deadlines.
+const CALLS_TIME_LEFT: Duration = Duration::from_millis(1_500);
 
-/// Resolves when connections are to be closed.
+/// Resolves when callers' connections must be closed.
 pub type Closing = SharedFuture<oneshot::Receiver<()>>;
 
 /// Accepts callers until `closing` resolves.
@@ -60,26 +61,26 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                let task = connection(shared.clone(), stream, closing.clone());
+                let task = handle_connection(shared.clone(), stream, closing.clone());
                 compio::runtime::spawn(task).detach();
             }
             Err(e) => {
                 tracing::warn!(error = %e, "cannot accept a connection");
-                compio::time::sleep(http::ACCEPT_PAUSE).await;
+                compio::time::sleep(http::ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn connection(shared: Rc<Shared>, stream: TcpStream, closing: Closing) {
-    // Small answers would otherwise wait for acknowledgements; nothing breaks without it.
+async fn handle_connection(shared: Rc<Shared>, stream: TcpStream, closing: Closing) {
+    // Without it small answers wait for acknowledgements; a failure to set it is harmless.
     let _ = stream.set_nodelay(true);
     let limits = shared.config().map_or_else(Limits::default, |c| c.limits.clone());
     let service = service_fn(move |req| {
         let shared = shared.clone();
         async move { Ok::<_, Infallible>(handle(shared, req).await) }
     });
-    // The library has one limit for idle connections and for slow heads: the longer one holds.
+    // hyper has one timeout for idle connections and for slow heads; the longer setting applies.
     let served = http1::Builder::new()
         .timer(CompioTimer)
         .header_read_timeout(limits.idle.max(limits.head_time))
@@ -87,26 +88,26 @@
         .max_buf_size(limits.head.max(BUFFER_MIN))
         .serve_connection(HyperStream::new_plain(stream), service);
     let mut served = std::pin::pin!(served);
-    let ended = match select(served.as_mut(), closing).await {
-        Either::Left((ended, _)) => ended,
+    let result = match select(served.as_mut(), closing).await {
+        Either::Left((result, _)) => result,
         Either::Right(_) => {
             served.as_mut().graceful_shutdown();
             served.await
         }
     };
-    if let Err(e) = ended {
-        tracing::debug!(error = %e, "caller's connection ended");
+    if let Err(e) = result {
+        tracing::debug!(error = %e, "caller's connection failed");
     }
 }
 
-/// Answers one request. Dropping the future says that the caller is gone.
+/// Answers one request; the future is dropped when the caller disconnects.
 async fn handle(shared: Rc<Shared>, req: Request<Incoming>) -> Response<Body> {
     let came_at = shared.now();
-    // With chunks, a length that contradicts them may hide a second request in the body: nothing
-    // that follows on this connection is believed.
+    // A content length that contradicts the chunks may hide a second request in the body (request
+    // smuggling), so the connection is closed after the answer.
     let chunked = req.headers().contains_key(TRANSFER_ENCODING);
-    let mut response = match read(&shared, req, came_at).await {
-        Ok(intake) => work(&shared, intake).await,
+    let mut response = match read_request(&shared, req, came_at).await {
+        Ok(intake) => process(&shared, intake).await,
         Err(refused) => refused,
     };
     if chunked || shared.is_stopping() {
@@ -115,24 +116,24 @@
     response
 }
 
-/// Reads a request whole and finds its route.
-async fn read(
+/// Reads a complete request and finds its route.
+async fn read_request(
     shared: &Rc<Shared>,
     req: Request<Incoming>,
-    came_at: Moment,
+    came_at: Timestamp,
 ) -> Result<Intake, Response<Body>> {
-    let caller = headers::caller(req.headers());
+    let caller = headers::parse_caller(req.headers());
     let refuse = |cause: Cause| {
         let id = caller.attempt.as_deref().unwrap_or("-");
         shared.metrics.count("gateway.refused.unread", 1);
-        let away = shared.fresh.borrow().is_away();
-        let waits = matches!(cause, Cause::NotReady | Cause::Unconfirmed);
-        let left = caller.patience.filter(|_| waits);
-        let wait = comeback::wait(left, away, shared.draw());
-        let Basis { config, roster, age } = shared.basis();
-        let ms = wait.as_millis() as u64;
+        let away = shared.store_state.borrow().is_away();
+        let is_transient = matches!(cause, Cause::NotReady | Cause::Unconfirmed);
+        let time_left = caller.time_left.filter(|_| is_transient);
+        let retry_after = retry_after::wait(time_left, away, shared.random_fraction());
+        let SnapshotVersion { config, roster, age } = shared.snapshot_version();
+        let ms = retry_after.as_millis() as u64;
         tracing::info!(id, ?cause, away, ms, config, roster, age, "request refused unread");
-        let mut response = answer::refusal(cause, Verdict::NotRun, Some(wait));
+        let mut response = answer::refusal(cause, Verdict::NotRun, Some(retry_after));
         if matches!(cause, Cause::Malformed | Cause::TooLarge) {
             answer::close_after(&mut response);
         }
@@ -149,16 +150,17 @@
     let (Some(host), None) = (host, hosts.next()) else {
         return Err(refuse(Cause::Malformed));
     };
-    let Some(route) = routes::find(&config, host, req.uri().path()).map(|r| position(&config, r))
+    let Some(route) =
+        routes::find(&config, host, req.uri().path()).map(|r| route_index(&config, r))
     else {
         return Err(refuse(Cause::NoRoute));
     };
-    let (account, weight) = match admit(shared, &config, route, &caller) {
-        Ok(admitted) => admitted,
+    let (account, cost) = match account_and_cost(shared, &config, route, &caller) {
+        Ok(identified) => identified,
         Err(cause) => return Err(refuse(cause)),
     };
-    if let Some(asked) = shared.stopping.get()
-        && !may_end(shared, asked, came_at, config.routes[route].kind)
+    if let Some(stopped_at) = shared.stopping.get()
+        && !can_finish(shared, stopped_at, came_at, config.routes[route].kind)
     {
         return Err(refuse(Cause::Stopping));
     }
@@ -172,21 +174,22 @@
         Err(e) if e.is::<LengthLimitError>() => return Err(refuse(Cause::TooLarge)),
         Err(_) => return Err(refuse(Cause::Malformed)),
     };
-    let sender = account.as_ref().map_or("", Account::as_str);
-    let content = shared.digester.content(sender, &parts.method, &host, &parts.uri, &body);
-    let times = times(shared, came_at, &config.routes[route], &caller);
+    let account_name = account.as_ref().map_or("", Account::as_str);
+    let content =
+        shared.digester.request_digest(account_name, &parts.method, &host, &parts.uri, &body);
+    let times = time_bounds(shared, came_at, &config.routes[route], &caller);
     let target = Target { config, route, service };
-    let mut intake = intake(times, target, parts, body, caller, content);
-    (intake.account, intake.weight) = (account, weight);
+    let mut intake = build_intake(times, target, parts, body, caller, content);
+    (intake.account, intake.cost) = (account, cost);
     Ok(intake)
 }
 
-/// The account of a request, and what it counts of the account's quota.
-fn admit(
+/// The account of a request, and the request's cost against the account's quota.
+fn account_and_cost(
     shared: &Shared,
     config: &Config,
     route: usize,
-    caller: &headers::Caller,
+    caller: &headers::CallerHeaders,
 ) -> Result<(Option<Account>, u64), Cause> {
     let account =
         keys::identify(shared, config, &config.routes[route], caller).inspect_err(|cause| {
@@ -195,80 +198,85 @@
                 Credential::Absent | Credential::Malformed => String::new(),
             };
             let id = caller.attempt.as_deref().unwrap_or("-");
-            let age = shared.recency.borrow().age(shared.now()).as_millis() as u64;
+            let age = shared.config_staleness.borrow().age(shared.now()).as_millis() as u64;
             tracing::info!(
                 id,
                 ?cause,
                 key,
                 config = config.version,
                 config_age = age,
-                "key not taken"
+                "key not accepted"
             );
             shared.metrics.count("gateway.keys.refused", 1);
         })?;
     let Some(account) = account else {
         return Ok((None, 0));
     };
-    let weight = account.quota.map_or(Some(0), |quota| quota.unit.weigh(caller.size));
-    Ok((Some(account.name.clone()), weight.ok_or(Cause::Malformed)?))
+    let cost = account.quota.map_or(Some(0), |quota| quota.unit.cost(caller.size));
+    Ok((Some(account.name.clone()), cost.ok_or(Cause::Malformed)?))
 }
 
-/// Can a request that comes now still end before the process does?
-fn may_end(shared: &Shared, asked: Moment, now: Moment, kind: Kind) -> bool {
+/// Can a request that arrives now finish before the process exits?
+fn can_finish(shared: &Shared, stopped_at: Timestamp, now: Timestamp, kind: Kind) -> bool {
     match kind {
-        Kind::Stream => now < asked.after(STREAMS_TAKEN),
+        Kind::Stream => now < stopped_at.after(STREAMS_ACCEPTED),
         Kind::Idempotent | Kind::Once => {
-            now < asked.after(shared.node().bounds.grace).before(CALLS_LEFT)
+            now < stopped_at.after(shared.node().bounds.grace).before(CALLS_TIME_LEFT)
         }
     }
 }
 
-/// The moments that bound a request.
-struct Times {
-    came_at: Moment,
-    ends_at: Moment,
-    goal_at: Moment,
+/// Timestamps that bound a request.
+struct TimeBounds {
+    came_at: Timestamp,
+    ends_at: Timestamp,
+    goal_at: Timestamp,
 }
 
-/// Where a request goes: its route in a configuration, and the service chosen for it.
+/// Where a request goes: a route of a configuration, and the service chosen for it.
 struct Target {
     config: Rc<Config>,
     route: usize,
     service: String,
 }
 
-fn times(shared: &Shared, came_at: Moment, route: &Route, caller: &headers::Caller) -> Times {
-    let patience = caller.patience.unwrap_or(route.timeout);
-    let mut deadlines = shared.patience.borrow_mut();
-    let spent = deadlines.spent(came_at, &route.name, route.timeout, patience);
-    Times {
+fn time_bounds(
+    shared: &Shared,
+    came_at: Timestamp,
+    route: &Route,
+    caller: &headers::CallerHeaders,
+) -> TimeBounds {
+    let caller_timeout = caller.time_left.unwrap_or(route.timeout);
+    let mut deadlines = shared.caller_deadlines.borrow_mut();
+    let spent = deadlines.time_spent(came_at, &route.name, route.timeout, caller_timeout);
+    TimeBounds {
         came_at,
-        ends_at: came_at.after(patience.min(route.timeout)),
+        ends_at: came_at.after(caller_timeout.min(route.timeout)),
         goal_at: came_at.before(spent).after(route.goal),
     }
 }
 
-fn intake(
-    times: Times,
+fn build_intake(
+    times: TimeBounds,
     target: Target,
     parts: hyper::http::request::Parts,
     body: Bytes,
-    caller: headers::Caller,
-    content: Content,
+    caller: headers::CallerHeaders,
+    content: RequestDigest,
 ) -> Intake {
-    let Times { came_at, ends_at, goal_at } = times;
+    let TimeBounds { came_at, ends_at, goal_at } = times;
     let Target { config, route, service } = target;
-    let mut headers = headers::forwarded(&parts.headers);
+    let mut headers = headers::forwarded_to_server(&parts.headers);
     if config.accounts.is_some() {
-        headers::drop_key(&mut headers);
+        headers::remove_api_key(&mut headers);
     }
     Intake {
         method: parts.method,
         uri: parts.uri,
         headers,
         account: None,
-        weight: 0,
-        ran: Cell::new(false),
+        cost: 0,
+        maybe_ran: Cell::new(false),
         arrivals: Cell::default(),
         caller,
         content,
@@ -282,59 +290,59 @@
     }
 }
 
-fn position(config: &Config, route: &Route) -> usize {
+fn route_index(config: &Config, route: &Route) -> usize {
     config.routes.iter().position(|r| std::ptr::eq(r, route)).unwrap_or(0)
 }
 
-/// A service by weight; another of the route when that one has no backend server.
+/// Picks a service by weight, or another one of the route if that one has no ready server.
 fn choose_service(shared: &Shared, config: &Config, route: usize) -> Option<String> {
     let route = &config.routes[route];
     let roster = shared.roster.borrow();
-    let chosen = routes::service(route, shared.draw())?;
-    let alive = |name: &str| roster.ready(name).next().is_some();
-    if alive(chosen) {
+    let chosen = routes::service(route, shared.random_fraction())?;
+    let has_server = |name: &str| roster.ready(name).next().is_some();
+    if has_server(chosen) {
         return Some(chosen.to_owned());
     }
-    let other = route.split.iter().find(|s| s.weight > 0 && alive(&s.service));
+    let other = route.split.iter().find(|s| s.weight > 0 && has_server(&s.service));
     Some(other.map_or(chosen, |s| s.service.as_str()).to_owned())
 }
 
-/// Hands a request to a task of its own, which outlives the caller for as long as it must clean up.
-async fn work(shared: &Rc<Shared>, intake: Intake) -> Response<Body> {
-    let trial = match quarantine::admit(shared, &intake).await {
-        Ok(trial) => trial,
+/// Runs a request in its own task, which outlives the caller until its state is cleaned up.
+async fn process(shared: &Rc<Shared>, intake: Intake) -> Response<Body> {
+    let probe = match quarantine::admit(shared, &intake).await {
+        Ok(probe) => probe,
         Err(refused) => return refused.response(shared.now()),
     };
     let charge = match quota::charge(shared, &intake).await {
         Ok(charge) => charge,
         Err(refused) => {
-            if let Some(trial) = trial {
-                trial.close(shared);
+            if let Some(probe) = probe {
+                probe.close(shared);
             }
             return refused.response(shared.now());
         }
     };
     let (token, gone) = oneshot::channel();
     let (reply, answer) = oneshot::channel();
-    let task = shared.clone();
-    shared.open.set(shared.open.get() + 1);
+    let task_shared = shared.clone();
+    shared.open_requests.set(shared.open_requests.get() + 1);
     compio::runtime::spawn(async move {
         match intake.route().kind {
-            Kind::Stream => stream::run(&task, &intake, gone, reply).await,
-            Kind::Idempotent | Kind::Once => call::run(&task, &intake, gone, reply).await,
+            Kind::Stream => stream::run(&task_shared, &intake, gone, reply).await,
+            Kind::Idempotent | Kind::Once => call::run(&task_shared, &intake, gone, reply).await,
         }
         if let Some(charge) = charge {
-            charge.close(&task, intake.ran.get());
+            charge.close(&task_shared, intake.maybe_ran.get());
         }
-        if let Some(trial) = trial {
-            trial.close(&task);
+        if let Some(probe) = probe {
+            probe.close(&task_shared);
         }
-        task.open.set(task.open.get() - 1);
+        task_shared.open_requests.set(task_shared.open_requests.get() - 1);
     })
     .detach();
     match answer.await {
-        Ok(response) => answer::tie(response, token),
-        // The task ends without an answer only when the caller is gone.
+        Ok(response) => answer::attach_token(response, token),
+        // The task ends without an answer only if the caller has disconnected.
         Err(_) => answer::refusal(Cause::Lost, Verdict::MayHaveRun, None),
     }
 }
--- a/crates/daemon/src/gateway/intake.rs
+++ b/crates/daemon/src/gateway/intake.rs
@@ -1,4 +1,4 @@
-//! A caller's request as it was read, with what was resolved for it once.
+//! A caller's request after it was read, with the route, service and deadlines resolved for it.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -6,65 +6,66 @@
 
 use bytes::Bytes;
 use ebonyloft_core::ids::Account;
-use ebonyloft_core::time::Moment;
-use ebonyloft_platform::headers::{self, Caller};
+use ebonyloft_core::time::Timestamp;
+use ebonyloft_platform::headers::{self, CallerHeaders};
 use ebonyloft_router::budget::Arrivals;
 use ebonyloft_router::catalog::{Config, Kind, Route, ServerId};
-use ebonyloft_router::content::Content;
+use ebonyloft_router::request_digest::RequestDigest;
 use http::HeaderMap;
 use hyper::{Method, Request, Uri};
 
-/// Deadlines sent to backend servers end this much before the caller's, for the way back.
-const WAY_BACK: Duration = Duration::from_millis(8);
+/// Deadlines sent to backend servers are this much earlier than the caller's, to leave time for the
+/// answer to return.
+const RETURN_MARGIN: Duration = Duration::from_millis(8);
 
-/// A request with its route.
+/// A caller's request and its route.
 pub struct Intake {
-    /// How the request was sent.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// The caller's headers that are passed on.
+    /// The caller's headers that are forwarded.
     pub headers: HeaderMap,
-    /// What the caller says of it.
-    pub caller: Caller,
-    /// Digest of what it asks for.
-    pub content: Content,
-    /// The whole body.
+    /// What the caller's own headers say about the request.
+    pub caller: CallerHeaders,
+    /// Keyed digest of the request.
+    pub content: RequestDigest,
+    /// The complete body.
     pub body: Bytes,
-    /// The account that its key belongs to.
+    /// The account that its key belongs to, if any.
     pub account: Option<Account>,
-    /// What it counts of that account's quota; zero without one.
-    pub weight: u64,
-    /// It may have begun to run somewhere.
-    pub ran: Cell<bool>,
-    /// Its arrivals at backend servers.
+    /// Its cost against the account's quota; zero without a quota.
+    pub cost: u64,
+    /// Whether it may have begun to run at a backend server.
+    pub maybe_ran: Cell<bool>,
+    /// Its sends to backend servers, as counted for the retry budget.
     pub arrivals: Cell<Arrivals>,
-    /// The configuration by which it is treated, to its end.
+    /// The configuration that applies to it until it ends.
     pub config: Rc<Config>,
     /// Index of its route in that configuration.
     pub route: usize,
-    /// Name of the service that takes it.
+    /// Name of the service that handles it.
     pub service: String,
     /// When its head was read.
-    pub came_at: Moment,
-    /// When the caller, or the operator, stops waiting.
-    pub ends_at: Moment,
-    /// When its answer or first event is in time, counted from the caller's first attempt.
-    pub goal_at: Moment,
+    pub came_at: Timestamp,
+    /// When the caller's deadline or the route's timeout ends it, whichever is earlier.
+    pub ends_at: Timestamp,
+    /// When its answer or first event is due, counted from the caller's first attempt.
+    pub goal_at: Timestamp,
 }
 
 impl Intake {
-    /// Its route.
+    /// Its route in the configuration.
     pub fn route(&self) -> &Route {
         &self.config.routes[self.route]
     }
 
-    /// Id of the attempt, for logs.
+    /// Id of the caller's attempt, for logs.
     pub fn id(&self) -> &str {
         self.caller.attempt.as_deref().unwrap_or("-")
     }
 
-    /// May it run more than once?
+    /// Can it safely run more than once?
     pub fn is_repeatable(&self) -> bool {
         let route = self.route();
         match route.kind {
@@ -74,18 +75,18 @@
         }
     }
 
-    /// The request for one backend server; its deadline is what is left now.
-    pub fn request(&self, now: Moment, to: &ServerId) -> Request<Bytes> {
+    /// Builds the request for one backend server, with the time left as its deadline.
+    pub fn request(&self, now: Timestamp, to: &ServerId) -> Request<Bytes> {
         let mut req = Request::new(self.body.clone());
         *req.method_mut() = self.method.clone();
         *req.uri_mut() = self.uri.clone();
         *req.headers_mut() = self.headers.clone();
         let headers = req.headers_mut();
-        headers::set_expected(headers, to);
+        headers::set_expected_instance(headers, to);
         if let Some(account) = &self.account {
             headers::set_account(headers, account);
         }
-        headers::set_patience(headers, self.ends_at.before(WAY_BACK).since(now));
+        headers::set_deadline(headers, self.ends_at.before(RETURN_MARGIN).since(now));
         req
     }
 }
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -1,7 +1,9 @@
-//! Gateways among themselves: what work each has at engines, and what one has heard that another one
-//! has not.
+//! Messages between gateways: load reports, zone summaries, gossip state, and questions about
+//! quotas and configurations.
 //!
-//! Both are told by datagram several times a second; what is newer elsewhere is then fetched.
+//! Load reports and zone summaries are sent as datagrams several times a second and carry the
+//! versions of the sender's state. A gateway that sees a newer version at a peer fetches it from
+//! there.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,86 +11,87 @@
 
 use bytes::Bytes;
 use compio::net::{TcpListener, UdpSocket};
-use ebonyloft_core::time::Moment;
-use ebonyloft_router::delegate::Link;
-use ebonyloft_router::pulls::Versions;
-use ebonyloft_router::share::{self, News, Share};
-use ebonyloft_router::zones::{DIGEST_PAUSE, Digest, Room, Scope};
+use ebonyloft_core::time::Timestamp;
+use ebonyloft_router::fetches::Versions;
+use ebonyloft_router::load_report::{self, GossipMessage, LoadReport};
+use ebonyloft_router::zone_leader::StoreLink;
+use ebonyloft_router::zones::{DIGEST_PAUSE, Scope, ServiceCapacity, ZoneSummary};
 use futures_util::StreamExt;
 use futures_util::future::select;
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
 
-use super::belief;
+use super::gossip;
 use super::keys;
-use super::notes;
 use super::quota;
 use super::shared::Shared;
-use super::stream::{self, lend, spill};
+use super::state_sync;
+use super::stream::{self, incoming, overflow};
 use crate::http;
 
-/// While there is no work only each second datagram is sent: often enough to count as live.
+/// An idle gateway sends only each second load report, which is often enough to count as live.
 const IDLE_ROUNDS: u64 = 2;
-/// Shortest pause between two datagrams, as a part of the usual one: news is told at once unless
-/// there was some just before. An engine's last place is otherwise given away twice in the meantime,
-/// and one of both callers waits or is refused.
-const GAP_PART: f64 = 0.2;
-/// Longest pause beyond that without news, as a part of the usual one: answers grow meanwhile, by
-/// some fifty tokens each.
-const REST_PART: f64 = 1.6;
+/// Shortest pause between two load reports, as a factor of the usual interval. A change is
+/// reported at once unless a report was sent just before; without that, two gateways reserve an
+/// engine's last memory, and one of both callers waits or is refused.
+const MIN_PAUSE_FACTOR: f64 = 0.2;
+/// Longest pause beyond that without changes, as a factor of the usual interval: answers grow by
+/// some fifty tokens each in that time.
+const IDLE_PAUSE_FACTOR: f64 = 1.6;
 /// Largest datagram.
 const DATAGRAM_MAX: usize = 8 << 10;
 
-/// Tells peers what work there is here.
-pub async fn tell(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
-    let life = shared.now().0;
+/// Sends load reports to the gateways that use the same engines.
+pub async fn send_load_reports(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
+    let incarnation = shared.now().0;
     let mut seq = 0;
-    let mut passed_at = Moment::default();
+    let mut summaries_sent_at = Timestamp::default();
     loop {
-        let peers = peers(&shared);
-        let pause = share::pause(peers.len());
-        compio::time::sleep(pause.mul_f64(GAP_PART)).await;
-        let rest = std::pin::pin!(compio::time::sleep(pause.mul_f64(REST_PART)));
-        select(shared.news(), rest).await;
-        shared.told();
+        let recipients = report_recipients(&shared);
+        let pause = load_report::pause(recipients.len());
+        compio::time::sleep(pause.mul_f64(MIN_PAUSE_FACTOR)).await;
+        let idle_pause = std::pin::pin!(compio::time::sleep(pause.mul_f64(IDLE_PAUSE_FACTOR)));
+        select(shared.report_requested(), idle_pause).await;
+        shared.clear_report_request();
         seq += 1;
-        let mut share = own_share(&shared, life, seq);
-        // News of work comes several times as often as digests do.
+        let mut report = own_report(&shared, incarnation, seq);
+        // Load reports are sent several times as often as zone summaries are passed on.
         let now = shared.now();
-        if now.since(passed_at) >= DIGEST_PAUSE && shared.role.borrow().follows() {
-            passed_at = now;
-            share.digests = shared.digests.borrow().passed_on(now).cloned().collect();
+        if now.since(summaries_sent_at) >= DIGEST_PAUSE && shared.role.borrow().follows() {
+            summaries_sent_at = now;
+            report.digests = shared.zone_summaries.borrow().passed_on(now).cloned().collect();
         }
-        let idle = share.work.is_empty() && share.waiting == 0 && share.changing.is_empty();
+        let idle = report.work.is_empty() && report.waiting == 0 && report.changing.is_empty();
         if idle && !seq.is_multiple_of(IDLE_ROUNDS) {
             continue;
         }
         let mut bytes = Vec::new();
-        if let Err(e) = ciborium::into_writer(&News::Share(share), &mut bytes) {
-            tracing::error!(error = %e, "share not encoded");
+        if let Err(e) = ciborium::into_writer(&GossipMessage::Share(report), &mut bytes) {
+            tracing::error!(error = %e, "can't encode load report");
             continue;
         }
-        send(&shared, &socket, "gateway.bytes.work", Bytes::from(bytes), &peers).await;
+        send_datagram(&shared, &socket, "gateway.bytes.work", Bytes::from(bytes), &recipients)
+            .await;
     }
 }
 
-/// Sends what is meant for single peers.
-pub async fn post(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
-    let Some(mut letters) = shared.letters() else {
+/// Sends the messages that are meant for a single peer.
+pub async fn send_messages(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
+    let Some(mut messages) = shared.take_outbox() else {
         return;
     };
-    while let Some((to, news)) = letters.next().await {
+    while let Some((to, message)) = messages.next().await {
         let mut bytes = Vec::new();
-        if let Err(e) = ciborium::into_writer(&news, &mut bytes) {
-            tracing::error!(error = %e, "letter not encoded");
+        if let Err(e) = ciborium::into_writer(&message, &mut bytes) {
+            tracing::error!(error = %e, "can't encode message to peer");
             continue;
         }
-        send(&shared, &socket, "gateway.bytes.letters", Bytes::from(bytes), &[to]).await;
+        send_datagram(&shared, &socket, "gateway.bytes.letters", Bytes::from(bytes), &[to]).await;
     }
 }
 
-/// Sends a datagram to some; its bytes are counted under `counter`.
-pub async fn send(
+/// Sends a datagram to each address in `to`; `counter` counts its bytes.
+pub async fn send_datagram(
     shared: &Shared,
     socket: &UdpSocket,
     counter: &'static str,
@@ -99,23 +102,23 @@
     for addr in to {
         let compio::BufResult(sent, _) = socket.send_to(bytes.clone(), *addr).await;
         if let Err(e) = sent {
-            tracing::debug!(%addr, error = %e, "datagram not sent");
+            tracing::debug!(%addr, error = %e, "can't send datagram");
         }
     }
 }
 
-/// Who is told of the work here: those who place at the same engines, and all while engines that may be
-/// theirs are changing their stage.
-fn peers(shared: &Shared) -> Vec<SocketAddr> {
+/// Addresses that load reports go to: the gateways that use the same engines, or all gateways
+/// while engines that may be theirs are changing their stage.
+fn report_recipients(shared: &Shared) -> Vec<SocketAddr> {
     let (node, fleet) = (shared.node(), shared.fleet.borrow());
-    let all = shared.scope() == Scope::All || !shared.changing.borrow().is_empty();
+    let all = shared.scope() == Scope::All || !shared.changing_engines.borrow().is_empty();
     let others = fleet.all().iter().filter(|(name, _)| **name != node.name);
     others.filter(|(_, g)| all || g.zone == node.zone).map(|(_, g)| g.addr).collect()
 }
 
-/// Tells other zones of this one, for as long as this gateway is a delegate.
-pub async fn tell_zones(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
-    let life = shared.now().0;
+/// Sends summaries of this zone to other zones while this gateway is a zone leader.
+pub async fn send_zone_summaries(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
+    let incarnation = shared.now().0;
     let mut seq = 0;
     loop {
         compio::time::sleep(DIGEST_PAUSE).await;
@@ -123,142 +126,150 @@
             continue;
         }
         seq += 1;
-        let digest = own_digest(&shared, life, seq);
+        let summary = own_summary(&shared, incarnation, seq);
         let mut bytes = Vec::new();
-        if let Err(e) = ciborium::into_writer(&News::Digest(digest), &mut bytes) {
-            tracing::error!(error = %e, "digest not encoded");
+        if let Err(e) = ciborium::into_writer(&GossipMessage::Digest(summary), &mut bytes) {
+            tracing::error!(error = %e, "can't encode zone summary");
             continue;
         }
-        let to = delegates(&shared);
-        send(&shared, &socket, "gateway.bytes.digests", Bytes::from(bytes), &to).await;
+        let to = leaders_of_other_zones(&shared);
+        send_datagram(&shared, &socket, "gateway.bytes.digests", Bytes::from(bytes), &to).await;
     }
 }
 
-/// Those who speak for other zones: as they rank, and who was heard lately.
-fn delegates(shared: &Shared) -> Vec<SocketAddr> {
-    let (node, fleet, digests) = (shared.node(), shared.fleet.borrow(), shared.digests.borrow());
-    let heard = digests.passed_on(shared.now()).map(|d| d.addr);
-    let ranked = fleet.delegates().filter(|g| g.zone != node.zone).map(|g| g.addr);
-    let all: BTreeSet<SocketAddr> = heard.chain(ranked).collect();
+/// Addresses of the leaders of other zones: those that rank first, and those that sent a summary
+/// lately.
+fn leaders_of_other_zones(shared: &Shared) -> Vec<SocketAddr> {
+    let (node, fleet, summaries) =
+        (shared.node(), shared.fleet.borrow(), shared.zone_summaries.borrow());
+    let senders = summaries.passed_on(shared.now()).map(|d| d.addr);
+    let ranked = fleet.zone_leaders().filter(|g| g.zone != node.zone).map(|g| g.addr);
+    let all: BTreeSet<SocketAddr> = senders.chain(ranked).collect();
     all.into_iter().collect()
 }
 
-fn own_digest(shared: &Shared, life: u64, seq: u64) -> Digest {
+fn own_summary(shared: &Shared, incarnation: u64, seq: u64) -> ZoneSummary {
     let node = shared.node();
-    let Versions { config, roster, fleet } = belief::versions(shared);
-    Digest {
+    let Versions { config, roster, fleet } = state_sync::versions(shared);
+    ZoneSummary {
         name: node.name.clone(),
         zone: node.zone.clone(),
         addr: (node.ip, node.peer_port).into(),
-        life,
+        life: incarnation,
         seq,
         config,
         roster,
         fleet,
-        notes: notes::sum(shared),
-        rooms: rooms(shared),
+        notes: gossip::checksum(shared),
+        rooms: capacities(shared),
     }
 }
 
-fn rooms(shared: &Shared) -> Vec<Room> {
+fn capacities(shared: &Shared) -> Vec<ServiceCapacity> {
     let Some(config) = shared.config() else {
         return Vec::new();
     };
     let engines = config.services.iter().filter_map(|s| Some((&s.name, s.engine.as_ref()?)));
-    engines.map(|(name, spec)| stream::room(shared, name, spec)).collect()
+    engines.map(|(name, spec)| stream::zone_capacity(shared, name, spec)).collect()
 }
 
-fn own_share(shared: &Shared, life: u64, seq: u64) -> Share {
+fn own_report(shared: &Shared, incarnation: u64, seq: u64) -> LoadReport {
     let engines = shared.engines.borrow();
-    let Versions { config, roster, fleet } = belief::versions(shared);
-    Share {
+    let Versions { config, roster, fleet } = state_sync::versions(shared);
+    LoadReport {
         name: shared.node().name.clone(),
-        life,
+        life: incarnation,
         seq,
         config,
         roster,
         fleet,
-        link: link(shared),
+        link: store_link(shared),
         waiting: engines.waiting() as u32,
-        changing: shared.changing.borrow().clone(),
+        changing: shared.changing_engines.borrow().clone(),
         work: engines.work(),
-        notes: notes::sum(shared),
-        missing: quota::missing(shared),
+        notes: gossip::checksum(shared),
+        missing: quota::unreachable_gateways(shared),
         digests: Vec::new(),
     }
 }
 
-/// How this gateway hears of the store, for its peers; one that has not read the whole list yet is no
-/// help to them.
-fn link(shared: &Shared) -> Link {
-    let helps = shared.role.borrow().follows() && shared.roster.borrow().is_complete();
-    match helps {
-        true => shared.fresh.borrow().link(shared.now(), shared.node().bounds.silence()),
-        false => Link::Indirect,
+/// This gateway's access to the store, as its peers see it. A gateway that has not read the whole
+/// server registry yet is of no use to them.
+fn store_link(shared: &Shared) -> StoreLink {
+    let is_useful = shared.role.borrow().follows() && shared.roster.borrow().is_complete();
+    match is_useful {
+        true => {
+            shared.store_state.borrow().link(shared.now(), shared.node().bounds.staleness_bound())
+        }
+        false => StoreLink::Indirect,
     }
 }
 
-/// Hears peers.
-pub async fn hear(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
+/// Receives datagrams from peers.
+pub async fn receive(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
     let mut buffer = Vec::with_capacity(DATAGRAM_MAX);
     loop {
         buffer.clear();
-        let compio::BufResult(received, back) = socket.recv_from(buffer).await;
-        buffer = back;
+        let compio::BufResult(received, returned) = socket.recv_from(buffer).await;
+        buffer = returned;
         let (len, from) = match received {
             Ok(received) => received,
             Err(e) => {
-                tracing::debug!(error = %e, "datagram not received");
-                compio::time::sleep(share::TELL).await;
+                tracing::debug!(error = %e, "can't receive datagram");
+                compio::time::sleep(load_report::REPORT_INTERVAL).await;
                 continue;
             }
         };
-        match ciborium::from_reader::<News, _>(&buffer[..len]) {
-            Ok(News::Share(share)) => take(&shared, from, share),
-            Ok(News::Digest(digest)) => {
-                let Digest { config, roster, fleet, .. } = digest;
-                notes::compare(&shared, &digest.name, from, digest.notes);
-                shared.digests.borrow_mut().hear(shared.now(), digest);
-                belief::compare(&shared, from, Versions { config, roster, fleet });
+        match ciborium::from_reader::<GossipMessage, _>(&buffer[..len]) {
+            Ok(GossipMessage::Share(report)) => on_load_report(&shared, from, report),
+            Ok(GossipMessage::Digest(summary)) => {
+                let ZoneSummary { config, roster, fleet, .. } = summary;
+                gossip::compare_checksum(&shared, &summary.name, from, summary.notes);
+                shared.zone_summaries.borrow_mut().hear(shared.now(), summary);
+                state_sync::fetch_newer(&shared, from, Versions { config, roster, fleet });
+            }
+            Ok(GossipMessage::Ask(ask)) => quota::serve(&shared, from, &ask),
+            Ok(GossipMessage::Answer(answer)) => quota::on_answer(&shared, answer),
+            Ok(GossipMessage::Unused(key, tokens)) => quota::accept_returned(&shared, &key, tokens),
+            Ok(GossipMessage::Age(number)) => keys::send_age(&shared, from, number),
+            Ok(GossipMessage::Held(number, version, age)) => {
+                keys::on_age(&shared, number, version, age)
+            }
+            Ok(GossipMessage::Notes(received)) => {
+                gossip::apply(&shared, &received, &from.to_string())
             }
-            Ok(News::Ask(ask)) => quota::serve(&shared, from, &ask),
-            Ok(News::Answer(answer)) => quota::hear(&shared, answer),
-            Ok(News::Unused(key, tokens)) => quota::take_back(&shared, &key, tokens),
-            Ok(News::Age(number)) => keys::tell_age(&shared, from, number),
-            Ok(News::Held(number, version, age)) => keys::hear_age(&shared, number, version, age),
-            Ok(News::Notes(heard)) => notes::take(&shared, &heard, &from.to_string()),
-            Err(e) => tracing::warn!(%from, len, error = %e, "datagram unread"),
+            Err(e) => tracing::warn!(%from, len, error = %e, "can't decode datagram"),
         }
     }
 }
 
-fn take(shared: &Rc<Shared>, from: SocketAddr, share: Share) {
-    let Share { config, roster, fleet, .. } = share;
-    notes::compare(shared, &share.name, from, share.notes);
-    shared.rest(&share.changing);
-    let mut share = share;
-    for digest in share.digests.drain(..).filter(|d| d.zone != shared.node().zone) {
-        shared.digests.borrow_mut().hear(shared.now(), digest);
+fn on_load_report(shared: &Rc<Shared>, from: SocketAddr, report: LoadReport) {
+    let LoadReport { config, roster, fleet, .. } = report;
+    gossip::compare_checksum(shared, &report.name, from, report.notes);
+    shared.back_off(&report.changing);
+    let mut report = report;
+    for summary in report.digests.drain(..).filter(|d| d.zone != shared.node().zone) {
+        shared.zone_summaries.borrow_mut().hear(shared.now(), summary);
     }
-    shared.shares.borrow_mut().hear(shared.now(), share);
-    shared.judge_role();
-    belief::compare(shared, from, Versions { config, roster, fleet });
+    shared.load_reports.borrow_mut().hear(shared.now(), report);
+    shared.update_role();
+    state_sync::fetch_newer(shared, from, Versions { config, roster, fleet });
 }
 
-/// Answers peers.
+/// Serves HTTP requests of peers.
 pub async fn serve(shared: Rc<Shared>, listener: TcpListener) {
-    let handler = move |req| answer(shared.clone(), req);
+    let handler = move |req| handle(shared.clone(), req);
     http::serve(listener, handler, Rc::new(std::cell::Cell::new(false))).await;
 }
 
-async fn answer(shared: Rc<Shared>, req: Request<Incoming>) -> Response<http::Body> {
+async fn handle(shared: Rc<Shared>, req: Request<Incoming>) -> Response<http::Body> {
     let path = req.uri().path();
-    if path.starts_with(spill::PATH) {
-        return lend::serve(shared, req).await;
+    if path.starts_with(overflow::PATH) {
+        return incoming::serve(shared, req).await;
     }
     match path {
-        notes::PATH => notes::answer(shared, req).await,
-        belief::PATH => belief::answer(&shared, req.uri().query()),
-        _ => http::response(StatusCode::NOT_FOUND, "text/plain", http::full("not here\n")),
+        gossip::PATH => gossip::handle_exchange(shared, req).await,
+        state_sync::PATH => state_sync::handle_request(&shared, req.uri().query()),
+        _ => http::response(StatusCode::NOT_FOUND, "text/plain", http::full_body("not here\n")),
     }
 }
--- a/crates/daemon/src/gateway/quarantine.rs
+++ b/crates/daemon/src/gateway/quarantine.rs
@@ -1,79 +1,87 @@
-//! Requests under which backend servers end: what is seen of them here, told to all, and acted on.
+//! Quarantine of requests that crash backend servers: observes crashes, shares them with all
+//! gateways and refuses such requests.
 //!
-//! What counts is decided in `ebonyloft_router::quarantine` and `losses`. A proved content is also written
-//! to the store, under a lease, so that it outlives the loss of all gateways; a key that was removed says
-//! nothing, since keys lapse with the store. An operator lets a content in again by writing so there.
+//! The rules are in `ebonyloft_router::quarantine` and `losses`. The digest of a confirmed request
+//! is also written to the store, under a lease, so that it outlives the loss of all gateways. The
+//! removal of a key is ignored, since keys also expire with the store. An operator releases a
+//! request by writing a release record.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
 use compio::time::timeout;
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_core::verdict::Verdict;
 use ebonyloft_platform::engine;
 use ebonyloft_platform::store::{Item, StoreError, Write};
 use ebonyloft_router::catalog::{Server, ServerId};
-use ebonyloft_router::content::Content;
-use ebonyloft_router::losses::{CALL_WAIT, Found, Loss, STREAM_WAIT};
-use ebonyloft_router::outcome::Fate;
-use ebonyloft_router::quarantine::{Change, Fact, PROVED_LIFE, SUSPECT_LIFE, Standing, Word};
+use ebonyloft_router::lost_attempts::{
+    CALL_PROBE_DELAY, LostAttempt, ProbeResult, STREAM_PROBE_DELAY,
+};
+use ebonyloft_router::outcome::AttemptOutcome;
+use ebonyloft_router::quarantine::{
+    CONFIRMED_TTL, Change, Fact, QuarantineState, QuarantineUpdate, SUSPECT_TTL,
+};
+use ebonyloft_router::request_digest::RequestDigest;
 use futures_util::future::{Either, select};
 use hyper::{Response, StatusCode};
 use serde::{Deserialize, Serialize};
 
+use super::announcements;
 use super::answer::{self, Body, Cause};
 use super::intake::Intake;
-use super::pool::Reached;
-use super::said;
-use super::shared::{Basis, Shared};
+use super::pool::Reachability;
+use super::shared::{Shared, SnapshotVersion};
 use super::watch::Sink;
 
-/// Prefix of the keys of proved contents.
-pub const PREFIX: &str = "ebonyloft/quarantine/";
-/// Prefix of the keys of contents that one more ending would prove: all gateways may be lost before.
-pub const SUSPECTS: &str = "ebonyloft/suspects/";
-/// Longest wait for a server's sign of life: some hundred times the way between availability zones.
-const SIGN_WAIT: Duration = Duration::from_millis(150);
-/// How long a stream that broke off waits for word whether its engine ended, before it goes on elsewhere; and
-/// what asks for the same meanwhile.
+/// Prefix of the store's keys of confirmed requests.
+pub const CONFIRMED_PREFIX: &str = "ebonyloft/quarantine/";
+/// Prefix of the store's keys of requests that one more crash would confirm; stored in case all
+/// gateways are lost before.
+pub const SUSPECT_PREFIX: &str = "ebonyloft/suspects/";
+/// Timeout of a server's liveness check: about a hundred times the latency between availability
+/// zones.
+const LIVENESS_TIMEOUT: Duration = Duration::from_millis(150);
+/// How long a broken stream waits to learn whether its engine crashed, before it continues
+/// elsewhere; identical requests wait as long.
 const INQUIRY_WAIT: Duration = Duration::from_millis(300);
-/// Pause between two looks at an inquiry that is waited for.
-const INQUIRY_LOOK: Duration = Duration::from_millis(10);
-/// Pause between two rounds of upkeep.
-const UPKEEP: Duration = Duration::from_millis(250);
-/// Pause before a proved content that could not be written to the store is written again; doubled with each.
-const WRITE_PAUSE: Duration = Duration::from_millis(500);
-/// Longest such pause: the store is back for a few seconds at least.
-const WRITE_PAUSE_MAX: Duration = Duration::from_secs(4);
-/// Runs that ended this soon behind their first event had only just begun.
-pub const EARLY: Duration = Duration::from_millis(1_000);
-
-/// A content as it stands in the store.
+/// Poll interval while waiting for the result of an inquiry.
+const INQUIRY_POLL: Duration = Duration::from_millis(10);
+/// Interval between upkeep rounds.
+const UPKEEP_INTERVAL: Duration = Duration::from_millis(250);
+/// Back-off before a failed write to the store is repeated; doubled each time.
+const WRITE_BACKOFF: Duration = Duration::from_millis(500);
+/// Longest such back-off: once the store is back, it stays for a few seconds at least.
+const WRITE_BACKOFF_MAX: Duration = Duration::from_secs(4);
+/// A run that broke off this soon after its first event counts as only just begun.
+pub const EARLY_WINDOW: Duration = Duration::from_millis(1_000);
+
+/// A request digest's record in the store.
 #[derive(Debug, Default, Deserialize, Serialize)]
 struct Record {
-    /// Servers that ended under it.
+    /// Servers that crashed under the request.
     servers: Vec<String>,
-    /// The same, with whether it had only just begun there, and when.
+    /// The same crashes, each with whether it came soon after the start, and when.
     #[serde(default)]
-    endings: Vec<(ServerId, bool, Moment)>,
-    /// The gateway that wrote it.
+    endings: Vec<(ServerId, bool, Timestamp)>,
+    /// The gateway that wrote the record.
     by: String,
-    /// An operator lets it in again.
+    /// Set by an operator to release the request.
     #[serde(default)]
     release: bool,
 }
 
-/// The only try of a suspected content in the system.
-pub struct Trial {
-    content: Content,
+/// The only probe of a suspected request in the whole system.
+pub struct Probe {
+    content: RequestDigest,
     number: u64,
 }
 
-impl Trial {
-    /// Others may try it again, if anybody may.
+impl Probe {
+    /// Ends the probe, so that the next one may begin if the request is still only suspected.
     pub fn close(self, shared: &Shared) {
-        tell(shared, self.content, Fact::Over(self.number));
+        publish_fact(shared, self.content, Fact::Over(self.number));
     }
 }
 
@@ -81,41 +89,41 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Refused {
     cause: Cause,
-    until: Moment,
+    until: Timestamp,
 }
 
 impl Refused {
-    /// The caller's answer: it has not run, and is worth sending again then.
-    pub fn response(self, now: Moment) -> Response<Body> {
+    /// The caller's answer: the request did not run, and may be sent again at that time.
+    pub fn response(self, now: Timestamp) -> Response<Body> {
         answer::refusal(self.cause, Verdict::NotRun, Some(self.until.since(now)))
     }
 }
 
-/// May this request be sent at all? One whose content is being looked into waits a moment, since most losses
-/// are no endings; any other that may not be sent is answered at once.
-pub async fn admit(shared: &Shared, intake: &Intake) -> Result<Option<Trial>, Refused> {
+/// Decides whether a request may be sent. It waits briefly while a lost attempt of the same request
+/// is being checked, since most are no crashes; any other refusal is immediate.
+pub async fn admit(shared: &Shared, intake: &Intake) -> Result<Option<Probe>, Refused> {
     let until = shared.now().after(INQUIRY_WAIT);
     let standing = loop {
         let now = shared.now();
         let standing = shared.quarantine.borrow().standing(now, &intake.content);
-        if !matches!(standing, Standing::Held(_)) || now >= until {
+        if !matches!(standing, QuarantineState::Held(_)) || now >= until {
             break standing;
         }
-        compio::time::sleep(INQUIRY_LOOK).await;
+        compio::time::sleep(INQUIRY_POLL).await;
     };
     let now = shared.now();
     let (cause, until) = match standing {
-        Standing::Free => return Ok(None),
-        Standing::Suspect => {
-            let trial = Trial { content: intake.content, number: shared.draw_number() };
-            tell(shared, trial.content, Fact::Trying(trial.number));
-            return Ok(Some(trial));
+        QuarantineState::Free => return Ok(None),
+        QuarantineState::Suspect => {
+            let probe = Probe { content: intake.content, number: shared.random_id() };
+            publish_fact(shared, probe.content, Fact::Trying(probe.number));
+            return Ok(Some(probe));
         }
-        Standing::Held(until) => (Cause::Suspect, until),
-        Standing::Proved(until) => (Cause::Quarantined, until),
+        QuarantineState::Held(until) => (Cause::Suspect, until),
+        QuarantineState::Confirmed(until) => (Cause::Quarantined, until),
     };
-    let endings = shared.quarantine.borrow().endings(&intake.content).len();
-    let Basis { config, roster, age } = shared.basis();
+    let endings = shared.quarantine.borrow().crashes(&intake.content).len();
+    let SnapshotVersion { config, roster, age } = shared.snapshot_version();
     let ms = until.since(now).as_millis() as u64;
     tracing::info!(
         id = intake.id(), content = %intake.content, ?cause, endings, ms, config, roster, age,
@@ -125,282 +133,299 @@
     Err(Refused { cause, until })
 }
 
-/// Is a content proved by now? Asked again before each send, since it may have waited.
-pub fn is_proved(shared: &Shared, content: &Content) -> bool {
+/// Is a request confirmed to crash servers? Checked again before each send, since the request may
+/// have waited.
+pub fn is_confirmed(shared: &Shared, content: &RequestDigest) -> bool {
     let standing = shared.quarantine.borrow().standing(shared.now(), content);
-    matches!(standing, Standing::Proved(_))
+    matches!(standing, QuarantineState::Confirmed(_))
 }
 
-/// How a run that broke off had begun.
+/// How far a run had come when it broke off.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Run {
-    /// A stream or a prompt, which had only just begun.
+pub enum RunStage {
+    /// A stream or a prefill that had only just begun.
     Begun,
-    /// A stream that had gone on for a while.
+    /// A stream that had been running for a while.
     Advanced,
     /// A short call.
     Call,
 }
 
-/// A send of a request to a backend server.
+/// One send of a request to a backend server.
 #[derive(Clone, Copy, Debug)]
 pub struct Sent<'a> {
     /// The server.
     pub server: &'a Server,
-    /// How far it has come.
-    pub run: Run,
+    /// How far the run has come.
+    pub run: RunStage,
     /// When it was sent.
-    pub at: Moment,
+    pub at: Timestamp,
 }
 
-/// A run broke off, or no answer came: whether its server ended is looked into.
-pub fn note_loss(shared: &Shared, intake: &Intake, sent: Sent<'_>) {
+/// Starts an inquiry into a lost attempt: did its server crash?
+pub fn on_lost(shared: &Shared, intake: &Intake, sent: Sent<'_>) {
     let (now, server) = (shared.now(), sent.server);
-    // Who leaves ends; that is nobody's fault.
-    let left = shared.roster.borrow().has_left(&server.id.name);
-    if left || shared.quarantine.borrow().is_sound(now, &intake.content) {
+    // A server that announced its leaving was not crashed by the request.
+    let is_leaving = shared.roster.borrow().has_left(&server.id.name);
+    if is_leaving || shared.quarantine.borrow().is_healthy(now, &intake.content) {
         return;
     }
-    let early = sent.run != Run::Advanced;
-    let wait = if sent.run == Run::Call { CALL_WAIT } else { STREAM_WAIT };
-    let number = shared.draw_number();
-    let loss = Loss { content: intake.content, early, sent: sent.at, at: now, number };
-    shared.losses.borrow_mut().lost(server, loss, wait);
-    if sent.run == Run::Begun {
-        tell(shared, intake.content, Fact::Lost(number));
+    let early = sent.run != RunStage::Advanced;
+    let wait = if sent.run == RunStage::Call { CALL_PROBE_DELAY } else { STREAM_PROBE_DELAY };
+    let number = shared.random_id();
+    let loss = LostAttempt { content: intake.content, early, sent: sent.at, at: now, number };
+    shared.lost_attempts.borrow_mut().add(server, loss, wait);
+    if sent.run == RunStage::Begun {
+        publish_fact(shared, intake.content, Fact::Lost(number));
     }
-    shared.inquiries.wake_all();
+    shared.background_waiters.wake_all();
 }
 
-/// Nobody waits for a run any more that had only just begun: whether its server ends is looked into too, or
-/// a caller who leaves early could end one server after the other unseen. Other answers of the server mostly
-/// tell that it lives.
-pub fn note_left(shared: &Shared, intake: &Intake, sent: Sent<'_>) {
-    if sent.run != Run::Advanced {
-        note_loss(shared, intake, Sent { run: Run::Call, ..sent });
+/// Handles an attempt abandoned by its caller. If it had only just begun, its server is checked as
+/// well; otherwise a caller that disconnects early could crash one server after another unnoticed.
+/// Other answers of the server usually show that it is alive.
+pub fn on_abandoned(shared: &Shared, intake: &Intake, sent: Sent<'_>) {
+    if sent.run != RunStage::Advanced {
+        on_lost(shared, intake, Sent { run: RunStage::Call, ..sent });
     }
 }
 
-/// A send ended: one that broke off is looked into, a whole answer clears its content.
-pub fn note_fate(shared: &Shared, intake: &Intake, sent: Sent<'_>, fate: Fate) {
+/// Handles the outcome of a send: a lost attempt is checked, and a complete answer clears the
+/// request.
+pub fn on_outcome(shared: &Shared, intake: &Intake, sent: Sent<'_>, fate: AttemptOutcome) {
     match fate {
-        Fate::Lost => note_loss(shared, intake, sent),
-        Fate::Answered(status) if status < 500 => served(shared, &intake.content),
-        Fate::Answered(_) | Fate::Moved | Fate::Rejected | Fate::Unsent => {}
+        AttemptOutcome::Lost => on_lost(shared, intake, sent),
+        AttemptOutcome::Answered(status) if status < 500 => on_served(shared, &intake.content),
+        AttemptOutcome::Answered(_)
+        | AttemptOutcome::Moved
+        | AttemptOutcome::Rejected
+        | AttemptOutcome::Unsent => {}
     }
 }
 
-fn served(shared: &Shared, content: &Content) {
-    let tells = shared.quarantine.borrow_mut().served_here(shared.now(), *content);
-    if tells {
-        tell(shared, *content, Fact::Served);
+fn on_served(shared: &Shared, content: &RequestDigest) {
+    let is_new = shared.quarantine.borrow_mut().on_served(shared.now(), *content);
+    if is_new {
+        publish_fact(shared, *content, Fact::Served);
     }
 }
 
-/// Waits until it is known whether the server ended at which a run of this content broke off, but not for
-/// long.
-pub async fn settled(shared: &Shared, content: &Content) {
+/// Waits, for a limited time, until it is known whether the server of a lost attempt of this
+/// request crashed.
+pub async fn wait_for_inquiry(shared: &Shared, content: &RequestDigest) {
     let until = shared.now().after(INQUIRY_WAIT);
-    while shared.now() < until && shared.losses.borrow().is_open(content) {
-        compio::time::sleep(INQUIRY_LOOK).await;
+    while shared.now() < until && shared.lost_attempts.borrow().is_investigated(content) {
+        compio::time::sleep(INQUIRY_POLL).await;
     }
 }
 
-/// A server answered what was sent at `sent`.
-pub fn note_alive(shared: &Shared, id: &ServerId, sent: Moment) {
-    let cleared = shared.losses.borrow_mut().alive(id, sent);
+/// Handles an answer to what was sent at `sent`, which shows that the server was alive.
+pub fn on_alive(shared: &Shared, id: &ServerId, sent: Timestamp) {
+    let cleared = shared.lost_attempts.borrow_mut().on_answer(id, sent);
     let early = cleared.iter().filter(|loss| loss.early);
-    early.for_each(|loss| tell(shared, loss.content, Fact::Over(loss.number)));
+    early.for_each(|loss| publish_fact(shared, loss.content, Fact::Over(loss.number)));
 }
 
-/// A life of a server has ended without having said that it leaves.
-pub fn note_ended(shared: &Shared, id: &ServerId, how: &'static str) {
-    let losses = shared.losses.borrow_mut().ended(id);
-    blame(shared, id, losses, how);
+/// Handles the end of a server's incarnation that did not announce its leaving.
+pub fn on_ended(shared: &Shared, id: &ServerId, how: &'static str) {
+    let losses = shared.lost_attempts.borrow_mut().on_crash(id);
+    record_crashes(shared, id, losses, how);
 }
 
-/// The registration of a name is gone, or names another life now.
-pub fn note_gone(shared: &Shared, name: &str) {
+/// Handles a registration that is gone, or that names another incarnation now.
+pub fn on_unregistered(shared: &Shared, name: &str) {
     let current = shared.roster.borrow().named(name).map(|s| s.id.clone());
-    let ended = shared.losses.borrow_mut().ended_but(name, current.as_ref());
+    let ended = shared.lost_attempts.borrow_mut().on_crash_except(name, current.as_ref());
     for (id, losses) in ended {
-        blame(shared, &id, losses, "registration");
+        record_crashes(shared, &id, losses, "registration");
     }
 }
 
-/// A life registered at an address: whoever was there before has ended, also when the store can't be
-/// believed yet.
-pub fn note_joined(shared: &Shared, addr: SocketAddr, id: &ServerId) {
-    let replaced = shared.losses.borrow().replaced(addr, id);
-    replaced.iter().for_each(|before| note_ended(shared, before, "address"));
+/// Handles a new registration: any other incarnation at its address has ended, even while the
+/// store's state is not trusted yet.
+pub fn on_registered(shared: &Shared, addr: SocketAddr, id: &ServerId) {
+    let replaced = shared.lost_attempts.borrow().replaced(addr, id);
+    replaced.iter().for_each(|previous| on_ended(shared, previous, "address"));
 }
 
-fn blame(shared: &Shared, id: &ServerId, losses: Vec<Loss>, how: &'static str) {
+fn record_crashes(shared: &Shared, id: &ServerId, losses: Vec<LostAttempt>, how: &'static str) {
     for loss in losses {
-        if shared.quarantine.borrow().is_sound(loss.at, &loss.content) {
+        if shared.quarantine.borrow().is_healthy(loss.at, &loss.content) {
             continue;
         }
         let age = shared.now().since(loss.at).as_millis() as u64;
         tracing::info!(
             content = %loss.content, server = %id, early = loss.early, how, age,
-            "backend server ended under a request"
+            "backend server crashed under a request"
         );
         let fact = Fact::Ended(id.clone(), loss.early);
-        note(shared, Word { content: loss.content, age, fact });
+        publish(shared, QuarantineUpdate { content: loss.content, age, fact });
         if loss.early {
-            tell(shared, loss.content, Fact::Over(loss.number));
+            publish_fact(shared, loss.content, Fact::Over(loss.number));
         }
     }
 }
 
-fn tell(shared: &Shared, content: Content, fact: Fact) {
-    note(shared, Word { content, age: 0, fact });
+fn publish_fact(shared: &Shared, content: RequestDigest, fact: Fact) {
+    publish(shared, QuarantineUpdate { content, age: 0, fact });
 }
 
-/// Takes what happened here and has it told to all.
-fn note(shared: &Shared, word: Word) {
-    take(shared, &word, None);
-    shared.notes.borrow_mut().words.push(word);
-    shared.inquiries.wake_all();
+/// Applies an observation made here and publishes it to all gateways.
+fn publish(shared: &Shared, report: QuarantineUpdate) {
+    apply_report(shared, &report, None);
+    shared.outgoing_gossip.borrow_mut().words.push(report);
+    shared.background_waiters.wake_all();
 }
 
-/// Takes what happened here, or what a peer told.
-pub fn take(shared: &Shared, word: &Word, peer: Option<&str>) {
-    let change = shared.quarantine.borrow_mut().take(shared.now(), word);
-    let (content, fact, age) = (word.content, &word.fact, word.age);
+/// Applies an observation made here, or reported by a peer or the store.
+pub fn apply_report(shared: &Shared, report: &QuarantineUpdate, peer: Option<&str>) {
+    let change = shared.quarantine.borrow_mut().apply(shared.now(), report);
+    let (content, fact, age) = (report.content, &report.fact, report.age);
     match change {
         Change::Nothing => {}
         Change::Suspected => {
-            let endings = shared.quarantine.borrow().endings(&content).len();
-            tracing::info!(%content, ?fact, age, peer, endings, "content suspected");
-            let close = shared.quarantine.borrow().is_close(&content);
-            if close && (peer.is_none() || is_first(shared)) {
-                shared.proofs.borrow_mut().push(content);
+            let endings = shared.quarantine.borrow().crashes(&content).len();
+            tracing::info!(
+                %content, ?fact, age, peer, endings, "request suspected of crashing servers"
+            );
+            let close_to_confirmed = shared.quarantine.borrow().is_nearly_confirmed(&content);
+            if close_to_confirmed && (peer.is_none() || is_first_gateway(shared)) {
+                shared.unsaved_confirmations.borrow_mut().push(content);
             }
         }
-        Change::Proved => {
+        Change::Confirmed => {
             let quarantine = shared.quarantine.borrow();
-            let ended = quarantine.endings(&content).iter().map(|e| e.server.to_string());
-            let servers = ended.collect::<Vec<_>>().join(" ");
-            tracing::warn!(%content, ?fact, age, peer, servers, "content proved");
+            let crashes = quarantine.crashes(&content).iter().map(|e| e.server.to_string());
+            let servers = crashes.collect::<Vec<_>>().join(" ");
+            tracing::warn!(
+                %content, ?fact, age, peer, servers, "request confirmed to crash servers"
+            );
             shared.metrics.count("gateway.quarantine.proved", 1);
-            if peer.is_none() || is_first(shared) {
-                shared.proofs.borrow_mut().push(content);
+            if peer.is_none() || is_first_gateway(shared) {
+                shared.unsaved_confirmations.borrow_mut().push(content);
             }
         }
-        Change::Cleared => tracing::info!(%content, ?fact, age, peer, "content cleared"),
+        Change::Cleared => {
+            tracing::info!(%content, ?fact, age, peer, "request cleared of crashing servers")
+        }
     }
 }
 
-/// Does this gateway come first of all? It writes what is proved only by what several others saw.
-fn is_first(shared: &Shared) -> bool {
+/// Is this gateway the first by name? The first one writes what was confirmed only by reports of
+/// several others.
+fn is_first_gateway(shared: &Shared) -> bool {
     shared.fleet.borrow().all().keys().next() == Some(&shared.node().name)
 }
 
-/// Looks into losses, writes proofs to the store, forgets what is over.
+/// Checks lost attempts, writes confirmed requests to the store and expires old state.
 pub async fn run(shared: Rc<Shared>) {
     loop {
         let now = shared.now();
-        let asks = shared.losses.borrow().next_ask().map_or(UPKEEP, |at| at.since(now));
-        let timer = std::pin::pin!(compio::time::sleep(asks.min(UPKEEP)));
-        if let Either::Left(_) = select(shared.inquiries.wake(), timer).await {
-            continue_asks(&shared);
+        let next_check = shared
+            .lost_attempts
+            .borrow()
+            .next_probe_at()
+            .map_or(UPKEEP_INTERVAL, |at| at.since(now));
+        let timer = std::pin::pin!(compio::time::sleep(next_check.min(UPKEEP_INTERVAL)));
+        if let Either::Left(_) = select(shared.background_waiters.wait(), timer).await {
+            start_checks(&shared);
             continue;
         }
-        continue_asks(&shared);
+        start_checks(&shared);
         upkeep(&shared);
     }
 }
 
-fn continue_asks(shared: &Rc<Shared>) {
-    for (id, addr) in shared.losses.borrow_mut().ask(shared.now()) {
-        compio::runtime::spawn(ask(shared.clone(), id, addr)).detach();
+fn start_checks(shared: &Rc<Shared>) {
+    for (id, addr) in shared.lost_attempts.borrow_mut().due_probes(shared.now()) {
+        compio::runtime::spawn(check_alive(shared.clone(), id, addr)).detach();
     }
-    for content in shared.proofs.take() {
-        compio::runtime::spawn(write(shared.clone(), content)).detach();
+    for content in shared.unsaved_confirmations.take() {
+        compio::runtime::spawn(store_record(shared.clone(), content)).detach();
     }
 }
 
 fn upkeep(shared: &Shared) {
     let now = shared.now();
-    for (server, loss) in shared.losses.borrow_mut().expire(now) {
-        tracing::info!(content = %loss.content, %server, "not known whether the server ended");
+    for (server, loss) in shared.lost_attempts.borrow_mut().expire(now) {
+        tracing::info!(content = %loss.content, %server, "cannot tell whether the server crashed");
     }
     for content in shared.quarantine.borrow_mut().expire(now) {
-        tracing::info!(%content, "content forgotten");
+        tracing::info!(%content, "suspicion of a request expired");
     }
-    let (suspects, proved) = shared.quarantine.borrow().counts();
+    let (suspects, confirmed) = shared.quarantine.borrow().counts();
     shared.metrics.gauge("gateway.quarantine.suspects", suspects as u64);
-    shared.metrics.gauge("gateway.quarantine.contents", proved as u64);
+    shared.metrics.gauge("gateway.quarantine.contents", confirmed as u64);
 }
 
-/// Asks a server for a sign of life.
-async fn ask(shared: Rc<Shared>, id: ServerId, addr: SocketAddr) {
-    if said::rests(&shared, &id) {
+/// Checks whether a server is alive.
+async fn check_alive(shared: Rc<Shared>, id: ServerId, addr: SocketAddr) {
+    if announcements::is_unavailable(&shared, &id) {
         return;
     }
     let sent = shared.now();
-    let reached = timeout(SIGN_WAIT, shared.pool.reach(addr, engine::report(&id))).await;
-    let found = match reached {
-        Ok(Reached::Answered(StatusCode::MISDIRECTED_REQUEST)) => Found::Other,
-        Ok(Reached::Answered(_)) => Found::Alive,
-        Ok(Reached::Refused) => Found::Nobody,
-        Ok(Reached::Broken) | Err(_) => Found::Silence,
+    let result =
+        timeout(LIVENESS_TIMEOUT, shared.pool.check_address(addr, engine::probe(&id))).await;
+    let found = match result {
+        Ok(Reachability::Answered(StatusCode::MISDIRECTED_REQUEST)) => ProbeResult::Other,
+        Ok(Reachability::Answered(_)) => ProbeResult::Alive,
+        Ok(Reachability::Refused) => ProbeResult::Nobody,
+        Ok(Reachability::Broken) | Err(_) => ProbeResult::Silence,
     };
-    let ended = shared.losses.borrow_mut().found(&id, found);
-    tracing::info!(server = %id, ?found, ended, "sign of life asked for");
+    let ended = shared.lost_attempts.borrow_mut().on_probe_result(&id, found);
+    tracing::info!(server = %id, ?found, ended, "liveness of a backend server checked");
     shared.metrics.count("gateway.quarantine.asked", 1);
-    if found == Found::Alive {
-        note_alive(&shared, &id, sent);
+    if found == ProbeResult::Alive {
+        on_alive(&shared, &id, sent);
     }
     if ended {
-        note_ended(&shared, &id, if found == Found::Other { "address" } else { "port" });
+        on_ended(&shared, &id, if found == ProbeResult::Other { "address" } else { "port" });
     }
 }
 
-/// Is there something of a content that the store should keep?
-fn is_kept(shared: &Shared, content: &Content) -> bool {
-    is_proved(shared, content) || shared.quarantine.borrow().is_close(content)
+/// Should the store keep a record of this request?
+fn should_store(shared: &Shared, content: &RequestDigest) -> bool {
+    is_confirmed(shared, content) || shared.quarantine.borrow().is_nearly_confirmed(content)
 }
 
-/// Writes a proved content to the store, or one that is close to it, for as long as it is; another gateway
-/// may have done so.
-async fn write(shared: Rc<Shared>, content: Content) {
-    let mut pause = WRITE_PAUSE;
-    while is_kept(&shared, &content) {
-        match try_write(&shared, content).await {
+/// Writes the record of a confirmed request, or of one close to that, to the store; repeated on
+/// failure while the request stays so. On a conflict another gateway has written it.
+async fn store_record(shared: Rc<Shared>, content: RequestDigest) {
+    let mut backoff = WRITE_BACKOFF;
+    while should_store(&shared, &content) {
+        match try_store_record(&shared, content).await {
             Ok(()) | Err(StoreError::Conflict) => return,
-            Err(e) => tracing::info!(%content, error = %e, "proof not written"),
+            Err(e) => tracing::info!(%content, error = %e, "quarantine record not written"),
         }
-        compio::time::sleep(pause.mul_f64(0.5 + shared.draw())).await;
-        pause = (pause * 2).min(WRITE_PAUSE_MAX);
+        compio::time::sleep(backoff.mul_f64(0.5 + shared.random_fraction())).await;
+        backoff = (backoff * 2).min(WRITE_BACKOFF_MAX);
     }
 }
 
-async fn try_write(shared: &Shared, content: Content) -> Result<(), StoreError> {
-    let (prefix, life) = match is_proved(shared, &content) {
-        true => (PREFIX, PROVED_LIFE),
-        false => (SUSPECTS, SUSPECT_LIFE),
+async fn try_store_record(shared: &Shared, content: RequestDigest) -> Result<(), StoreError> {
+    let (prefix, ttl) = match is_confirmed(shared, &content) {
+        true => (CONFIRMED_PREFIX, CONFIRMED_TTL),
+        false => (SUSPECT_PREFIX, SUSPECT_TTL),
     };
     let key = format!("{prefix}{:016x}{:016x}", content.0, content.1);
-    let ended = shared.quarantine.borrow().endings(&content).to_vec();
-    let servers = ended.iter().map(|e| e.server.to_string()).collect();
-    let endings = ended.into_iter().map(|e| (e.server, e.early, e.at)).collect();
+    let crashes = shared.quarantine.borrow().crashes(&content).to_vec();
+    let servers = crashes.iter().map(|e| e.server.to_string()).collect();
+    let endings = crashes.into_iter().map(|e| (e.server, e.early, e.at)).collect();
     let record = Record { servers, endings, by: shared.node().name.clone(), release: false };
     let value = serde_json::to_vec(&record).expect("plain strings serialise");
-    let lease = shared.store.lease(life).await?;
+    let lease = shared.store.lease(ttl).await?;
     let write = Write { key: &key, value: &value, lease: lease.id };
     let written = shared.store.txn(&[(&key, 0)], &[write]).await;
     if matches!(written, Err(StoreError::Conflict)) {
-        shared.store.end(lease.id).await?;
+        shared.store.revoke(lease.id).await?;
     }
     written.map(drop)
 }
 
-/// Takes proved contents, and those that are close to it, from the store.
-pub struct ProofSink(pub Rc<Shared>);
+/// Applies the store's records of confirmed requests and of those close to it.
+pub struct QuarantineSink(pub Rc<Shared>);
 
-impl Sink for ProofSink {
+impl Sink for QuarantineSink {
     fn replace(&self, items: Vec<Item>, _revision: u64) {
         items.into_iter().for_each(|item| self.apply(item));
     }
@@ -409,10 +434,10 @@
         let Some(value) = item.value else {
             return;
         };
-        if let Some(content) = item.key.strip_prefix(SUSPECTS).and_then(parse) {
+        if let Some(content) = item.key.strip_prefix(SUSPECT_PREFIX).and_then(parse) {
             return self.suspect(content, &value);
         }
-        let Some(content) = item.key.strip_prefix(PREFIX).and_then(parse) else {
+        let Some(content) = item.key.strip_prefix(CONFIRMED_PREFIX).and_then(parse) else {
             return;
         };
         let fact = match serde_json::from_slice::<Record>(&value) {
@@ -420,30 +445,32 @@
             Ok(_) => Fact::Proved,
             Err(e) => {
                 let revision = item.revision;
-                return tracing::warn!(key = item.key, revision, error = %e, "proof unread");
+                return tracing::warn!(
+                    key = item.key, revision, error = %e, "invalid quarantine record"
+                );
             }
         };
-        if fact == Fact::Proved && is_proved(&self.0, &content) {
+        if fact == Fact::Proved && is_confirmed(&self.0, &content) {
             return;
         }
-        take(&self.0, &Word { content, age: 0, fact }, Some("store"));
+        apply_report(&self.0, &QuarantineUpdate { content, age: 0, fact }, Some("store"));
     }
 }
 
-impl ProofSink {
-    fn suspect(&self, content: Content, value: &[u8]) {
+impl QuarantineSink {
+    fn suspect(&self, content: RequestDigest, value: &[u8]) {
         let Ok(record) = serde_json::from_slice::<Record>(value) else {
-            return tracing::warn!(%content, "suspect unread");
+            return tracing::warn!(%content, "invalid record of a suspected request");
         };
         for (server, early, at) in record.endings {
             let age = self.0.now().since(at).as_millis() as u64;
-            let word = Word { content, age, fact: Fact::Ended(server, early) };
-            take(&self.0, &word, Some("store"));
+            let report = QuarantineUpdate { content, age, fact: Fact::Ended(server, early) };
+            apply_report(&self.0, &report, Some("store"));
         }
     }
 }
 
-fn parse(digits: &str) -> Option<Content> {
+fn parse(digits: &str) -> Option<RequestDigest> {
     let all = u128::from_str_radix(digits, 16).ok().filter(|_| digits.len() == 32)?;
-    Some(Content::of(all.to_be_bytes()))
+    Some(RequestDigest::of(all.to_be_bytes()))
 }
--- a/crates/daemon/src/gateway/quota.rs
+++ b/crates/daemon/src/gateway/quota.rs
@@ -1,22 +1,26 @@
-//! Bounds that all gateways share: what is taken of them here, and what this gateway lends to others.
+//! Quotas and rate limits that all gateways share: tokens acquired here, and tokens granted to
+//! peers by this gateway as an owner.
 //!
-//! Decisions are in `ebonyloft_router::quota`; here are the questions to a bound's home and their answers,
-//! by datagram. Client accounts' quotas are charged here too; backend servers' limits in `limits`.
+//! Decisions are made in `ebonyloft_router::quota`; this module exchanges the datagrams between
+//! gateways and owners. Client accounts' quotas are charged here too; backend servers' limits are
+//! in `limits`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use ebonyloft_core::config::Rate;
-use ebonyloft_core::ids::Account as Name;
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::ids::Account as AccountName;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_core::verdict::Verdict;
 use ebonyloft_router::accounts::{Account, Quota};
 use ebonyloft_router::limits::{EXCESS as SERVER_EXCESS, Limit};
+use ebonyloft_router::load_report::{GossipMessage, LoadReports};
 use ebonyloft_router::node::Excess;
-use ebonyloft_router::quota::homes::{Missing, Votes, gateway_number};
-use ebonyloft_router::quota::lender::spare;
-use ebonyloft_router::quota::{Answer, Ask, Key, Reply};
-use ebonyloft_router::share::{News, Shares};
+use ebonyloft_router::quota::issuer::standby_share;
+use ebonyloft_router::quota::ownership::{
+    ReachabilityReports, UnreachableGateways, gateway_number,
+};
+use ebonyloft_router::quota::{LeaseDecision, LeaseRequest, LeaseResponse, LimitKey};
 use ebonyloft_router::zones::Scope;
 use futures_channel::oneshot;
 use hyper::Response;
@@ -24,33 +28,35 @@
 use super::answer::{self, Body, Cause};
 use super::intake::Intake;
 use super::limits;
-use super::shared::{Basis, Shared};
+use super::shared::{Shared, SnapshotVersion};
 
-/// Longest wait for a home's answer: some ten times the way there and back.
-const ASK_WAIT: Duration = Duration::from_millis(40);
-/// Shortest time after which a caller is asked to come back; the least that can be told.
-const BACK_MIN: Duration = Duration::from_millis(10);
-/// Times that a home is asked for one request: one datagram in fifty may be lost.
-const ASKS_MAX: usize = 3;
-/// How long a home that did not answer is passed over.
-const SILENT_REST: Duration = Duration::from_millis(1_000);
-/// What lapses within this time is brought back: until the next round of upkeep, and the way.
-const LAPSES: Duration = Duration::from_millis(300);
-/// When a caller should come back whose account's home does not answer: another one lends by then.
-const HOME_LOST: Duration = Duration::from_millis(700);
+/// Longest wait for an owner's answer: about ten times the round trip.
+const OWNER_TIMEOUT: Duration = Duration::from_millis(40);
+/// Shortest retry-after time, the least that the header can express.
+const RETRY_MIN: Duration = Duration::from_millis(10);
+/// How often an owner is asked for one request: one datagram in fifty may be lost.
+const ATTEMPTS_MAX: usize = 3;
+/// How long an owner that did not answer is skipped.
+const SILENT_BACKOFF: Duration = Duration::from_millis(1_000);
+/// Tokens that expire within this time are returned to the owner: it covers the time until the next
+/// upkeep round, and the transfer.
+const EXPIRY_MARGIN: Duration = Duration::from_millis(300);
+/// Mean retry-after time if the account's owner does not answer: by then another gateway owns the
+/// quota.
+const OWNER_LOST_RETRY: Duration = Duration::from_millis(700);
 
-/// What a request took of its account's quota.
+/// Tokens that a request took from its account's quota.
 #[derive(Debug)]
 pub struct Charge {
-    key: Key,
+    key: LimitKey,
     tokens: u64,
 }
 
 impl Charge {
-    /// The request is over; what did not run is given back.
+    /// Ends the charge; the tokens of a request that did not run are given back.
     pub fn close(self, shared: &Shared, ran: bool) {
         if !ran {
-            shared.borrower.borrow_mut().give_back(shared.now(), &self.key, self.tokens);
+            shared.token_leases.borrow_mut().restore(shared.now(), &self.key, self.tokens);
         }
     }
 }
@@ -59,96 +65,100 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Refused {
     cause: Cause,
-    back_at: Moment,
+    retry_at: Timestamp,
 }
 
 impl Refused {
-    /// The caller's answer: it has not run.
-    pub fn response(self, now: Moment) -> Response<Body> {
-        answer::refusal(self.cause, Verdict::NotRun, Some(self.back_at.since(now).max(BACK_MIN)))
+    /// The caller's answer, which says that the request did not run.
+    pub fn response(self, now: Timestamp) -> Response<Body> {
+        answer::refusal(self.cause, Verdict::NotRun, Some(self.retry_at.since(now).max(RETRY_MIN)))
     }
 }
 
-/// Why nothing was taken of a bound.
+/// Why no tokens were acquired.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Short {
-    /// It is used up; when to come back.
-    Over(Moment),
-    /// Nobody who lends it answers.
+pub enum Shortage {
+    /// The quota or limit is used up until this time.
+    Over(Timestamp),
+    /// No gateway that grants it answers.
     Unknown,
 }
 
-/// Takes what a request weighs, here or from the account's home.
+/// Charges a request's cost to its account's quota, from tokens held here or from the owner.
 pub async fn charge(shared: &Shared, intake: &Intake) -> Result<Option<Charge>, Refused> {
-    let (Some(account), tokens @ 1..) = (intake.account.clone(), intake.weight) else {
+    let (Some(account), tokens @ 1..) = (intake.account.clone(), intake.cost) else {
         return Ok(None);
     };
-    let key = Key::Account(account);
-    match take(shared, &key, tokens, None, ASKS_MAX).await {
+    let key = LimitKey::Account(account);
+    match acquire(shared, &key, tokens, None, ATTEMPTS_MAX).await {
         Ok(()) => Ok(Some(Charge { key, tokens })),
-        Err(Short::Over(back_at)) => Err(refuse(shared, intake, Cause::OverQuota, back_at)),
-        Err(Short::Unknown) => {
-            let back_at = shared.now().after(HOME_LOST.mul_f64(0.5 + shared.draw()));
-            Err(refuse(shared, intake, Cause::QuotaUnknown, back_at))
+        Err(Shortage::Over(retry_at)) => Err(refuse(shared, intake, Cause::OverQuota, retry_at)),
+        Err(Shortage::Unknown) => {
+            let retry_at =
+                shared.now().after(OWNER_LOST_RETRY.mul_f64(0.5 + shared.random_fraction()));
+            Err(refuse(shared, intake, Cause::QuotaUnknown, retry_at))
         }
     }
 }
 
-/// Takes so much of a bound, here or from its home, which is asked so often at most and told a server's
-/// limit.
-pub async fn take(
+/// Acquires `need` tokens, from those held here or from the owner. The owner is asked at most
+/// `attempts` times and is told a server's limit.
+pub async fn acquire(
     shared: &Shared,
-    key: &Key,
+    key: &LimitKey,
     need: u64,
     limit: Option<Limit>,
-    asks: usize,
-) -> Result<(), Short> {
-    if shared.borrower.borrow_mut().take(shared.now(), key, need) {
+    attempts: usize,
+) -> Result<(), Shortage> {
+    if shared.token_leases.borrow_mut().spend(shared.now(), key, need) {
         return Ok(());
     }
     let mut unanswered = 0;
-    // Asked again under the same number, a home whose answer was lost lends nothing more.
-    let more = shared.borrower.borrow().more(key);
-    let ask = Ask { number: shared.draw_number(), key: key.clone(), need, more, limit };
-    let asked = shared.now();
-    for _ in 0..asks {
-        let over = shared.borrower.borrow().over(shared.now(), key);
-        if let Some((_, back_at)) = over {
-            return Err(Short::Over(back_at));
+    // Every attempt has the same number, so that an owner whose answer was lost grants nothing
+    // more.
+    let more = shared.token_leases.borrow().prefetch(key);
+    let ask = LeaseRequest { number: shared.random_id(), key: key.clone(), need, more, limit };
+    let asked_at = shared.now();
+    for _ in 0..attempts {
+        let used_up = shared.token_leases.borrow().exhausted(shared.now(), key);
+        if let Some((_, retry_at)) = used_up {
+            return Err(Shortage::Over(retry_at));
         }
-        match put(shared, &ask).await {
-            Some(Reply::Lent(tokens)) => {
-                let mut borrower = shared.borrower.borrow_mut();
-                borrower.lent(key, asked, tokens);
-                if borrower.take_lent(shared.now(), key, need) {
+        match ask_owner(shared, &ask).await {
+            Some(LeaseDecision::Lent(tokens)) => {
+                let mut borrower = shared.token_leases.borrow_mut();
+                borrower.on_granted(key, asked_at, tokens);
+                if borrower.spend_granted(shared.now(), key, need) {
                     return Ok(());
                 }
             }
-            Some(Reply::Over { room, back }) => {
+            Some(LeaseDecision::Over { room, back }) => {
                 let now = shared.now();
-                let after = |ms: u32| now.after(Duration::from_millis(ms.into()));
-                shared.borrower.borrow_mut().refused(key, after(room), after(back));
-                return Err(Short::Over(after(back)));
+                let after_ms = |ms: u32| now.after(Duration::from_millis(ms.into()));
+                shared.token_leases.borrow_mut().on_exhausted(key, after_ms(room), after_ms(back));
+                return Err(Shortage::Over(after_ms(back)));
             }
-            Some(Reply::Elsewhere) if asks > 1 => compio::time::sleep(ASK_WAIT).await,
-            Some(Reply::Elsewhere) => {}
+            Some(LeaseDecision::Elsewhere) if attempts > 1 => {
+                compio::time::sleep(OWNER_TIMEOUT).await
+            }
+            Some(LeaseDecision::Elsewhere) => {}
             None => unanswered += 1,
         }
     }
-    if let Some(home) = home(shared, key).filter(|_| unanswered == asks) {
-        pass_over(shared, key, &home);
+    if let Some(owner_name) = owner(shared, key).filter(|_| unanswered == attempts) {
+        skip_owner(shared, key, &owner_name);
     }
-    Err(Short::Unknown)
+    Err(Shortage::Unknown)
 }
 
-fn refuse(shared: &Shared, intake: &Intake, cause: Cause, back_at: Moment) -> Refused {
-    let account = intake.account.as_ref().map(Name::as_str);
-    let ms = back_at.since(shared.now()).as_millis() as u64;
-    let Basis { config, roster, age } = shared.basis();
+fn refuse(shared: &Shared, intake: &Intake, cause: Cause, retry_at: Timestamp) -> Refused {
+    let account = intake.account.as_ref().map(AccountName::as_str);
+    let ms = retry_at.since(shared.now()).as_millis() as u64;
+    let SnapshotVersion { config, roster, age } = shared.snapshot_version();
     tracing::info!(
         id = intake.id(),
         account,
-        weight = intake.weight,
+        weight = intake.cost,
         ?cause,
         ms,
         config,
@@ -161,186 +171,190 @@
         _ => "gateway.quota.unknown",
     };
     shared.metrics.count(counter, 1);
-    Refused { cause, back_at }
+    Refused { cause, retry_at }
 }
 
-/// Puts a question to the bound's home, which may be this gateway.
-async fn put(shared: &Shared, ask: &Ask) -> Option<Reply> {
-    let home = home(shared, &ask.key)?;
-    if home == shared.node().name {
-        return Some(lend(shared, ask));
+/// Sends a request for tokens to the owner, which may be this gateway.
+async fn ask_owner(shared: &Shared, ask: &LeaseRequest) -> Option<LeaseDecision> {
+    let owner_name = owner(shared, &ask.key)?;
+    if owner_name == shared.node().name {
+        return Some(grant(shared, ask));
     }
-    let addr = shared.fleet.borrow().all().get(&home)?.addr;
+    let addr = shared.fleet.borrow().all().get(&owner_name)?.addr;
     let (sender, reply) = oneshot::channel();
-    shared.asked.borrow_mut().insert(ask.number, sender);
-    shared.post(addr, News::Ask(ask.clone()));
-    let reply = compio::time::timeout(ASK_WAIT, reply).await;
-    shared.asked.borrow_mut().remove(&ask.number);
+    shared.pending_asks.borrow_mut().insert(ask.number, sender);
+    shared.queue_message(addr, GossipMessage::Ask(ask.clone()));
+    let reply = compio::time::timeout(OWNER_TIMEOUT, reply).await;
+    shared.pending_asks.borrow_mut().remove(&ask.number);
     reply.ok()?.ok()
 }
 
-/// A home did not answer several times, which lost datagrams alone hardly explain.
-fn pass_over(shared: &Shared, key: &Key, home: &str) {
-    tracing::info!(?key, home, "home of a shared bound does not answer");
-    let until = shared.now().after(SILENT_REST);
-    shared.silent.borrow_mut().insert(gateway_number(home), until);
+/// Skips an owner that did not answer several times, which lost datagrams alone hardly explain.
+fn skip_owner(shared: &Shared, key: &LimitKey, owner_name: &str) {
+    tracing::info!(?key, home = owner_name, "owner of a quota or limit does not answer");
+    let until = shared.now().after(SILENT_BACKOFF);
+    shared.unresponsive_owners.borrow_mut().insert(gateway_number(owner_name), until);
 }
 
-/// A peer asks for a part of a bound.
-pub fn serve(shared: &Shared, from: SocketAddr, ask: &Ask) {
-    let reply = lend(shared, ask);
-    shared.post(from, News::Answer(Answer { number: ask.number, reply }));
+/// Answers a peer's request for tokens.
+pub fn serve(shared: &Shared, from: SocketAddr, ask: &LeaseRequest) {
+    let reply = grant(shared, ask);
+    shared.queue_message(from, GossipMessage::Answer(LeaseResponse { number: ask.number, reply }));
 }
 
-/// A home answered.
-pub fn hear(shared: &Shared, answer: Answer) {
-    if let Some(sender) = shared.asked.borrow_mut().remove(&answer.number) {
-        // Who asked may have gone meanwhile; what was lent lapses.
+/// Hands an owner's answer to the request that waits for it.
+pub fn on_answer(shared: &Shared, answer: LeaseResponse) {
+    if let Some(sender) = shared.pending_asks.borrow_mut().remove(&answer.number) {
+        // The waiting request may have ended by now; its tokens expire.
         let _ = sender.send(answer.reply);
     }
 }
 
-/// Brings back what lapses unused; lost on the way, it is lent to nobody.
-fn bring_back(shared: &Shared, key: &Key, tokens: u64) {
-    let Some(home) = home(shared, key) else {
+/// Returns tokens that would expire unused. If the datagram is lost, they are granted to no
+/// gateway.
+fn return_unused(shared: &Shared, key: &LimitKey, tokens: u64) {
+    let Some(owner_name) = owner(shared, key) else {
         return;
     };
-    if home == shared.node().name {
-        return take_back(shared, key, tokens);
+    if owner_name == shared.node().name {
+        return accept_returned(shared, key, tokens);
     }
-    if let Some(gateway) = shared.fleet.borrow().all().get(&home) {
-        shared.post(gateway.addr, News::Unused(key.clone(), tokens));
+    if let Some(gateway) = shared.fleet.borrow().all().get(&owner_name) {
+        shared.queue_message(gateway.addr, GossipMessage::Unused(key.clone(), tokens));
     }
 }
 
-/// A peer brings back what it did not use.
-pub fn take_back(shared: &Shared, key: &Key, tokens: u64) {
-    if let Some(bound) = bound(shared, key, None) {
-        let part = part(shared, key, &bound);
-        shared.lender.borrow_mut().take_back(key, tokens, part);
+/// Takes back tokens that a peer did not use.
+pub fn accept_returned(shared: &Shared, key: &LimitKey, tokens: u64) {
+    if let Some(rate) = rate_of(shared, key, None) {
+        let share = granted_share(shared, key, &rate);
+        shared.lease_issuer.borrow_mut().return_unused(key, tokens, share);
     }
 }
 
-fn lend(shared: &Shared, ask: &Ask) -> Reply {
-    limits::learn(shared, &ask.key, ask.limit);
-    let Some(bound) = bound(shared, &ask.key, ask.limit) else {
-        return Reply::Elsewhere;
+fn grant(shared: &Shared, ask: &LeaseRequest) -> LeaseDecision {
+    limits::learn_from_request(shared, &ask.key, ask.limit);
+    let Some(rate) = rate_of(shared, &ask.key, ask.limit) else {
+        return LeaseDecision::Elsewhere;
     };
     let (now, node) = (shared.now(), shared.node());
-    let part = part(shared, &ask.key, &bound);
+    let share = granted_share(shared, &ask.key, &rate);
     let fleet = shared.fleet.borrow();
-    let ranked = shared.homes.borrow_mut().ranked(&fleet, &ask.key);
-    let first = ranked.first() == Some(&node.name);
-    let mut lender = shared.lender.borrow_mut();
+    let ranked = shared.quota_owners.borrow_mut().ranked(&fleet, &ask.key);
+    let is_first = ranked.first() == Some(&node.name);
+    let mut lender = shared.lease_issuer.borrow_mut();
     lender.tick(now, fleet.edition());
-    let reply = lender.lend(now, ask, &bound, part, first);
+    let reply = lender.grant(now, ask, &rate, share, is_first);
     let level = lender.level(&ask.key).unwrap_or_default();
-    let config = shared.basis().config;
+    let config = shared.snapshot_version().config;
     match reply {
-        Reply::Lent(_) => shared.metrics.count("gateway.quota.lent", 1),
+        LeaseDecision::Lent(_) => shared.metrics.count("gateway.quota.lent", 1),
         _ => tracing::info!(
             key = ?ask.key,
             need = ask.need,
             level,
-            part,
-            rate = bound.rate,
-            burst = bound.burst,
+            part = share,
+            rate = rate.rate,
+            burst = rate.burst,
             ?reply,
             config,
-            "not lent"
+            "tokens not granted"
         ),
     }
     reply
 }
 
-/// A bound as it is known here; of a server's limit the stricter of what is known and what was told.
-fn bound(shared: &Shared, key: &Key, told: Option<Limit>) -> Option<Rate> {
+/// The rate of a quota or limit; for a server's limit, the stricter of the known and the reported
+/// one.
+fn rate_of(shared: &Shared, key: &LimitKey, reported: Option<Limit>) -> Option<Rate> {
     match key {
-        Key::Account(account) => Some(quota(shared, account)?.bound),
-        Key::Server(id) => {
+        LimitKey::Account(account) => Some(quota(shared, account)?.bound),
+        LimitKey::Server(id) => {
             let known = shared.limits.borrow().of(id);
-            Some(known.into_iter().chain(told).min()?.rate())
+            Some(known.into_iter().chain(reported).min()?.rate())
         }
     }
 }
 
-/// How far a bound may be passed.
-fn excess(shared: &Shared, key: &Key) -> Excess {
+/// How far a quota or limit may be exceeded.
+fn excess(shared: &Shared, key: &LimitKey) -> Excess {
     match key {
-        Key::Account(_) => shared.node().bounds.excess,
-        Key::Server(_) => SERVER_EXCESS,
+        LimitKey::Account(_) => shared.node().bounds.excess,
+        LimitKey::Server(_) => SERVER_EXCESS,
     }
 }
 
-fn quota(shared: &Shared, account: &Name) -> Option<Quota> {
+fn quota(shared: &Shared, account: &AccountName) -> Option<Quota> {
     let config = shared.config()?;
     let account: &Account = config.accounts.as_ref()?.named(account)?;
     account.quota
 }
 
-/// Whose bound this gateway may ask, by whom it hears itself.
-fn home(shared: &Shared, key: &Key) -> Option<String> {
+/// The owner to ask, among the gateways that this one receives messages from.
+fn owner(shared: &Shared, key: &LimitKey) -> Option<String> {
     let fleet = shared.fleet.borrow();
-    let mut missing = missing(shared);
-    let silent = shared.silent.borrow();
-    missing.extend(
+    let mut excluded = unreachable_gateways(shared);
+    let silent = shared.unresponsive_owners.borrow();
+    excluded.extend(
         silent.iter().filter(|(_, until)| **until > shared.now()).map(|(number, _)| number),
     );
-    shared.homes.borrow_mut().home(&fleet, key, &missing)
+    shared.quota_owners.borrow_mut().owner(&fleet, key, &excluded)
 }
 
-/// The part of a bound that is lent here.
-fn part(shared: &Shared, key: &Key, bound: &Rate) -> f64 {
+/// The share of a quota or limit that this gateway grants.
+fn granted_share(shared: &Shared, key: &LimitKey, rate: &Rate) -> f64 {
     let (now, node, fleet) = (shared.now(), shared.node(), shared.fleet.borrow());
-    let mut homes = shared.homes.borrow_mut();
+    let mut homes = shared.quota_owners.borrow_mut();
     if shared.scope() == Scope::Zone {
-        // Gateways of other zones are not heard: who ranks first lends all, and its deputy what is tolerated
-        // beyond that.
+        // Gateways of other zones are not observed here: the first in rank grants everything, and
+        // its standby the tolerated excess.
         let ranked = homes.ranked(&fleet, key);
         return match ranked.iter().position(|name| *name == node.name) {
             Some(0) => 1.0,
-            Some(1) => spare(bound, &excess(shared, key)),
+            Some(1) => standby_share(rate, &excess(shared, key)),
             _ => 0.0,
         };
     }
-    let shares = shared.shares.borrow();
-    let own = missing(shared);
-    let votes = Heard { now, name: &node.name, own: &own, shares: &shares };
-    homes.part(&fleet, key, &node.name, &votes)
+    let shares = shared.load_reports.borrow();
+    let own_unreachable = unreachable_gateways(shared);
+    let views = ObservedViews { now, name: &node.name, own: &own_unreachable, shares: &shares };
+    homes.share(&fleet, key, &node.name, &views)
 }
 
-/// Gateways that this one misses.
-pub fn missing(shared: &Shared) -> Missing {
+/// Gateways that this one receives no messages from.
+pub fn unreachable_gateways(shared: &Shared) -> UnreachableGateways {
     let (node, fleet) = (shared.node(), shared.fleet.borrow());
     match shared.scope() {
-        Scope::All => shared.shares.borrow().missing(shared.now(), &fleet, &node.name),
-        Scope::Zone => Missing::new(),
+        Scope::All => shared.load_reports.borrow().unreachable(shared.now(), &fleet, &node.name),
+        Scope::Zone => UnreachableGateways::new(),
     }
 }
 
-/// Upkeep: bounds that have another home are dropped, and what nobody asks for.
+/// Upkeep: returns unused tokens, and drops quotas and limits that another gateway owns or that are
+/// no longer used.
 pub fn expire(shared: &Shared) {
     let now = shared.now();
-    let unused = shared.borrower.borrow_mut().unused(now, LAPSES);
-    unused.iter().for_each(|(key, tokens)| bring_back(shared, key, *tokens));
-    shared.borrower.borrow_mut().expire(now);
-    shared.lender.borrow_mut().tick(now, shared.fleet.borrow().edition());
-    let lends =
-        |key: &Key| bound(shared, key, None).is_some_and(|bound| part(shared, key, &bound) > 0.0);
-    shared.lender.borrow_mut().retain(lends);
-    shared.silent.borrow_mut().retain(|_, until| *until > now);
+    let unused = shared.token_leases.borrow_mut().take_expiring(now, EXPIRY_MARGIN);
+    unused.iter().for_each(|(key, tokens)| return_unused(shared, key, *tokens));
+    shared.token_leases.borrow_mut().expire(now);
+    shared.lease_issuer.borrow_mut().tick(now, shared.fleet.borrow().edition());
+    let is_granted = |key: &LimitKey| {
+        rate_of(shared, key, None).is_some_and(|rate| granted_share(shared, key, &rate) > 0.0)
+    };
+    shared.lease_issuer.borrow_mut().retain(is_granted);
+    shared.unresponsive_owners.borrow_mut().retain(|_, until| *until > now);
 }
 
-/// What is heard of other gateways, and this one's own view.
-struct Heard<'a> {
-    now: Moment,
+/// Unreachable gateways as reported by each peer, with this gateway's own view.
+struct ObservedViews<'a> {
+    now: Timestamp,
     name: &'a str,
-    own: &'a Missing,
-    shares: &'a Shares,
+    own: &'a UnreachableGateways,
+    shares: &'a LoadReports,
 }
 
-impl Votes for Heard<'_> {
-    fn missing(&self, name: &str) -> Option<&Missing> {
+impl ReachabilityReports for ObservedViews<'_> {
+    fn missing(&self, name: &str) -> Option<&UnreachableGateways> {
         if name == self.name {
             return Some(self.own);
         }
--- a/crates/daemon/src/gateway/send.rs
+++ b/crates/daemon/src/gateway/send.rs
@@ -1,42 +1,42 @@
-//! One send of a request to one backend server, and what came of it.
+//! One attempt at a backend server: sends a request and determines the outcome.
 
 use std::time::Duration;
 
 use bytes::Bytes;
 use ebonyloft_platform::headers;
 use ebonyloft_router::catalog::{Kind, Server};
-use ebonyloft_router::outcome::{Fate, Reply};
+use ebonyloft_router::outcome::{AttemptOutcome, Reply};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use hyper::{HeaderMap, Request, Response, StatusCode};
 
+use super::announcements;
 use super::intake::Intake;
 use super::keys;
 use super::pool::{Conn, ExchangeError, IDLE_MAX, IDLE_MAX_ONCE};
 use super::quarantine;
 use super::retries;
-use super::said;
 use super::shared::Shared;
 
-/// The head of an answer, and the connection that its body comes on.
+/// The head of an answer, and the connection that its body arrives on.
 pub struct Head {
-    /// What the head says.
+    /// What its status and headers say.
     pub reply: Reply,
-    /// The answer, its body unread.
+    /// The answer, with its body unread.
     pub response: Response<Incoming>,
-    /// Carries the body; dropped, it ends the work at the backend server.
+    /// Carries the body; dropping it cancels the work at the backend server.
     pub conn: Conn,
 }
 
-/// An answer read whole.
-pub struct Whole {
+/// A complete answer.
+pub struct CompleteAnswer {
     /// HTTP status.
     pub status: StatusCode,
-    /// Headers that the caller gets.
+    /// Headers that are returned to the caller.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// What the head says.
+    /// What its status and headers say.
     pub reply: Reply,
 }
 
@@ -47,105 +47,114 @@
     to: &Server,
     req: Request<Bytes>,
     expect: Expect,
-) -> Result<Head, Fate> {
-    // What may run once must not meet a connection that the other end is just closing.
+) -> Result<Head, AttemptOutcome> {
+    // A request that may run only once must not use a connection that the server may just be
+    // closing.
     let idle_max = match intake.route().kind {
         Kind::Once => IDLE_MAX_ONCE,
         _ if intake.is_repeatable() => IDLE_MAX,
         _ => IDLE_MAX_ONCE,
     };
-    let mut conn = shared.pool.take(to.addr, idle_max).await.map_err(fate)?;
-    // It may have left while the request waited: for its prompt to be read, in another zone, or for this
-    // connection.
-    if !said::takes(shared, &to.id) {
+    let mut conn = shared.pool.take(to.addr, idle_max).await.map_err(exchange_outcome)?;
+    // The server may have announced that it is leaving while the request waited for its prefill,
+    // for another zone or for this connection.
+    if !announcements::accepts_requests(shared, &to.id) {
         tracing::info!(
-            id = intake.id(), server = %to.id, "not sent: the backend server leaves, or wants nothing"
+            id = intake.id(), server = %to.id, "not sent: the backend server is leaving or paused"
         );
-        shared.pool.give(conn);
-        return Err(Fate::Unsent);
+        shared.pool.put_back(conn);
+        return Err(AttemptOutcome::Unsent);
     }
-    if quarantine::is_proved(shared, &intake.content) {
-        tracing::info!(id = intake.id(), content = %intake.content, server = %to.id, "not sent: proved");
-        shared.pool.give(conn);
-        return Err(Fate::Unsent);
+    if quarantine::is_confirmed(shared, &intake.content) {
+        tracing::info!(
+            id = intake.id(), content = %intake.content, server = %to.id,
+            "not sent: confirmed to crash servers"
+        );
+        shared.pool.put_back(conn);
+        return Err(AttemptOutcome::Unsent);
     }
     if !keys::may_send(shared, intake) {
-        shared.pool.give(conn);
-        return Err(Fate::Unsent);
+        shared.pool.put_back(conn);
+        return Err(AttemptOutcome::Unsent);
     }
-    let sent = shared.now();
-    // It counts as run from here on, also if its caller leaves before anything else is known.
-    let ran = intake.ran.replace(intake.ran.get() || expect == Expect::Signature);
-    retries::sent(shared, intake);
+    let sent_at = shared.now();
+    // The request counts as run from here on, even if its caller disconnects before the outcome is
+    // known.
+    let ran_before =
+        intake.maybe_ran.replace(intake.maybe_ran.get() || expect == Expect::Signature);
+    retries::commit(shared, intake);
     let response = match conn.exchange(req).await {
         Ok(response) => response,
         Err(e) => {
             conn.close();
             if matches!(e, ExchangeError::Unsent) {
-                intake.ran.set(ran);
-                retries::unsent(shared, intake);
+                intake.maybe_ran.set(ran_before);
+                retries::undo_commit(shared, intake);
             }
-            return Err(fate(e));
+            return Err(exchange_outcome(e));
         }
     };
-    let reply = headers::reply(response.status(), response.headers());
+    let reply = headers::parse_reply(response.status(), response.headers());
     if reply.not_run {
-        intake.ran.set(ran);
+        intake.maybe_ran.set(ran_before);
     }
     if !reply.moved {
-        quarantine::note_alive(shared, &to.id, sent);
+        quarantine::on_alive(shared, &to.id, sent_at);
     }
-    said::note(shared, &to.id, sent, &reply);
+    announcements::on_answer(shared, &to.id, sent_at, &reply);
     Ok(Head { reply, response, conn })
 }
 
-/// What a whole answer must carry.
+/// Which mark a complete answer must carry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Expect {
-    /// The backend server's signature: it is meant for the caller.
+    /// The backend server's signature: the answer is for the caller.
     Signature,
-    /// The handle of a prompt that was read; it is meant for this process and not signed.
+    /// The handle of a prefilled prompt: the answer is for the gateway and not signed.
     Handle,
 }
 
-/// Sends a request and reads its answer whole, within `limit`.
-pub async fn whole(
+/// Sends a request and reads its complete answer within `limit`.
+pub async fn complete_exchange(
     shared: &Shared,
     intake: &Intake,
     to: &Server,
     req: Request<Bytes>,
     limit: Duration,
     expect: Expect,
-) -> (Fate, Option<Whole>) {
-    let sent = async {
+) -> (AttemptOutcome, Option<CompleteAnswer>) {
+    let attempt = async {
         let head = head(shared, intake, to, req, expect).await?;
         let Head { mut reply, response, conn } = head;
         reply.stamped |= expect == Expect::Handle;
-        let fate = Fate::of(&reply, intake.caller.attempt.as_deref());
-        let (status, headers) = (response.status(), headers::returned(response.headers()));
+        let outcome = AttemptOutcome::from_reply(&reply, intake.caller.attempt.as_deref());
+        let (status, headers) =
+            (response.status(), headers::forwarded_to_caller(response.headers()));
         let body = match response.into_body().collect().await {
             Ok(body) => body.to_bytes(),
-            // A rejection is known from its head.
-            Err(_) if fate == Fate::Rejected || fate == Fate::Moved => Bytes::new(),
-            Err(_) => return Err(Fate::Lost),
+            // A rejection is known from its head alone.
+            Err(_) if outcome == AttemptOutcome::Rejected || outcome == AttemptOutcome::Moved => {
+                Bytes::new()
+            }
+            Err(_) => return Err(AttemptOutcome::Lost),
         };
-        if fate == Fate::Lost {
+        if outcome == AttemptOutcome::Lost {
             conn.close();
         } else {
-            shared.pool.give(conn);
+            shared.pool.put_back(conn);
         }
-        Ok((fate, Whole { status, headers, body, reply }))
+        Ok((outcome, CompleteAnswer { status, headers, body, reply }))
     };
-    match compio::time::timeout(limit, sent).await {
-        Ok(Ok((fate, whole))) => (fate, Some(whole)),
-        Ok(Err(fate)) => (fate, None),
-        Err(_) => (Fate::Lost, None),
+    match compio::time::timeout(limit, attempt).await {
+        Ok(Ok((outcome, answer))) => (outcome, Some(answer)),
+        Ok(Err(outcome)) => (outcome, None),
+        Err(_) => (AttemptOutcome::Lost, None),
     }
 }
 
-fn fate(e: ExchangeError) -> Fate {
+fn exchange_outcome(e: ExchangeError) -> AttemptOutcome {
     match e {
-        ExchangeError::Unsent => Fate::Unsent,
-        ExchangeError::Lost => Fate::Lost,
+        ExchangeError::Unsent => AttemptOutcome::Unsent,
+        ExchangeError::Lost => AttemptOutcome::Lost,
     }
 }
--- a/crates/daemon/src/gateway/shared.rs
+++ b/crates/daemon/src/gateway/shared.rs
@@ -1,6 +1,7 @@
-//! What the tasks of one gateway process share: beliefs, records of backend servers, counters.
+//! State shared by the tasks of one gateway process: configuration, backend servers, peers and
+//! counters.
 //!
-//! All tasks run on one thread; a cell is borrowed for a step and never across a wait.
+//! All tasks run on one thread. A cell is borrowed for one step only, never across an `await`.
 
 use std::cell::{Cell, RefCell, RefMut};
 use std::collections::HashMap;
@@ -8,34 +9,34 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
+use ebonyloft_router::admission_queue::AdmissionQueue;
+use ebonyloft_router::back_offs::BackOffs;
 use ebonyloft_router::budget::Budget;
+use ebonyloft_router::caller_deadlines::CallerDeadlines;
 use ebonyloft_router::catalog::{Config, ServerId};
-use ebonyloft_router::content::Content;
-use ebonyloft_router::delegate::{Link, Role};
-use ebonyloft_router::drift::Drift;
-use ebonyloft_router::engines::Engines;
+use ebonyloft_router::divergence::DivergenceDetector;
+use ebonyloft_router::engines::EngineAdmission;
+use ebonyloft_router::fetches::Fetches;
 use ebonyloft_router::fleet::Fleet;
-use ebonyloft_router::freshness::Freshness;
-use ebonyloft_router::learned::{Learned, Service};
+use ebonyloft_router::learned::{ServiceStats, TrafficStats};
 use ebonyloft_router::limits::ServerLimits;
-use ebonyloft_router::line::Line;
-use ebonyloft_router::losses::Losses;
+use ebonyloft_router::load_report::{EngineLoad, GossipMessage, GossipState, LoadReports};
+use ebonyloft_router::lost_attempts::LostAttempts;
 use ebonyloft_router::node::Node;
-use ebonyloft_router::patience::Patience;
-use ebonyloft_router::pauses::Pauses;
-use ebonyloft_router::plain::Plain;
-use ebonyloft_router::prefill::Paces;
-use ebonyloft_router::pulls::Pulls;
+use ebonyloft_router::plain_servers::PlainServers;
+use ebonyloft_router::prefill::SpeedFactors;
 use ebonyloft_router::quarantine::Quarantine;
-use ebonyloft_router::quota::Reply;
-use ebonyloft_router::quota::borrower::Borrower;
-use ebonyloft_router::quota::homes::Homes;
-use ebonyloft_router::quota::lender::Lender;
-use ebonyloft_router::recency::Recency;
-use ebonyloft_router::roster::Roster;
-use ebonyloft_router::share::{News, Notes, Shares, Work};
-use ebonyloft_router::zones::{self, Digests, Memory, Scope};
+use ebonyloft_router::quota::LeaseDecision;
+use ebonyloft_router::quota::issuer::LeaseIssuer;
+use ebonyloft_router::quota::leases::TokenLeases;
+use ebonyloft_router::quota::ownership::Owners;
+use ebonyloft_router::registry::ServerRegistry;
+use ebonyloft_router::request_digest::RequestDigest;
+use ebonyloft_router::staleness::ConfigStaleness;
+use ebonyloft_router::store_state::StoreState;
+use ebonyloft_router::zone_leader::{LeaderState, StoreLink};
+use ebonyloft_router::zones::{self, Memory, Scope, ZoneSummaries};
 use futures_channel::{mpsc, oneshot};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -43,23 +44,23 @@
 use super::digest::Digester;
 use super::pool::Pool;
 use super::store::StoreClient;
-use super::stream::lend::Guests;
+use super::stream::incoming::IncomingReservations;
 use super::uploads::Uploads;
 use crate::clock::Clock;
 use crate::metrics::Metrics;
 
-/// How long an engine said to be changing its stage is passed over; several rounds of the datagrams
-/// that say so.
-const CHANGE_REST: Duration = Duration::from_millis(700);
+/// How long an engine that is reported to be changing its stage gets no requests: several rounds
+/// of the datagrams that report it.
+const STAGE_CHANGE_BACKOFF: Duration = Duration::from_millis(700);
 
-/// Versions and age of the beliefs behind a decision.
+/// Versions and age of the state that a decision used.
 #[derive(Clone, Copy, Debug)]
-pub struct Basis {
+pub struct SnapshotVersion {
     /// Version of the configuration.
     pub config: u64,
-    /// Revision of the list of backend servers.
+    /// Revision of the server registry.
     pub roster: u64,
-    /// Milliseconds since that list was known to hold.
+    /// Milliseconds since the server registry was known to be current.
     pub age: u64,
 }
 
@@ -67,108 +68,109 @@
 pub struct Shared {
     /// The process's clock.
     pub clock: Clock,
-    /// Settings; replaced when the file changes.
+    /// Settings; replaced when the settings file changes.
     pub node: RefCell<Rc<Node>>,
-    /// Makes digests of what requests ask for.
+    /// Computes request digests.
     pub digester: Digester,
-    /// Connections.
+    /// Connections to backend servers and peers.
     pub pool: Rc<Pool>,
-    /// The store.
+    /// Client of the metadata store.
     pub store: StoreClient,
-    /// The newest configuration heard of.
+    /// The newest configuration received.
     pub config: RefCell<Option<Rc<Config>>>,
-    /// Backend servers.
-    pub roster: RefCell<Roster>,
-    /// As of when the configuration is known to be the newest.
-    pub recency: RefCell<Recency>,
-    /// The newest configuration of the store could not be read.
-    pub unread: Cell<bool>,
-    /// Which gateways lend accounts' quotas.
-    pub homes: RefCell<Homes>,
-    /// What this gateway lends.
-    pub lender: RefCell<Lender>,
-    /// What it has borrowed.
-    pub borrower: RefCell<Borrower>,
-    /// Homes that did not answer, by number, and until when they are passed over.
-    pub silent: RefCell<HashMap<u32, Moment>>,
-    /// Questions to homes that are not answered yet.
-    pub asked: RefCell<HashMap<u64, oneshot::Sender<Reply>>>,
-    /// How far the list of backend servers can be believed.
-    pub fresh: RefCell<Freshness>,
-    /// Callers' deadlines, by route.
-    pub patience: RefCell<Patience>,
-    /// Calls of plain services under way and waiting, by service.
-    pub lines: RefCell<HashMap<String, Line>>,
-    /// Calls that wait for another one to end.
-    pub line_waiters: Waiters,
-    /// Records of plain backend servers.
-    pub plain: RefCell<Plain>,
-    /// Work at model engines.
-    pub engines: RefCell<Engines>,
-    /// Pace of engines that read prompts.
-    pub paces: RefCell<Paces>,
-    /// What is learned of services and routes.
-    pub learned: RefCell<Learned>,
-    /// What peers told.
-    pub shares: RefCell<Shares>,
-    /// The scope, and the list of gateways and the memory that it was judged by.
+    /// The server registry: all known backend servers.
+    pub roster: RefCell<ServerRegistry>,
+    /// When the configuration was last known to be the newest.
+    pub config_staleness: RefCell<ConfigStaleness>,
+    /// True if the store's newest configuration could not be decoded.
+    pub config_unreadable: Cell<bool>,
+    /// Ranks the gateways that may own a quota or server limit.
+    pub quota_owners: RefCell<Owners>,
+    /// Tokens that this gateway grants to others, as owner or standby.
+    pub lease_issuer: RefCell<LeaseIssuer>,
+    /// Tokens that this gateway has acquired.
+    pub token_leases: RefCell<TokenLeases>,
+    /// Owners that did not answer, by gateway number, and until when they are not asked.
+    pub unresponsive_owners: RefCell<HashMap<u32, Timestamp>>,
+    /// Token requests to owners that wait for an answer, by request number.
+    pub pending_asks: RefCell<HashMap<u64, oneshot::Sender<LeaseDecision>>>,
+    /// When the server registry was last known to be current, and whether the store is reachable.
+    pub store_state: RefCell<StoreState>,
+    /// Deadlines that callers set, by route.
+    pub caller_deadlines: RefCell<CallerDeadlines>,
+    /// Admission queues of plain services, by service.
+    pub admission_queues: RefCell<HashMap<String, AdmissionQueue>>,
+    /// Calls that wait in an admission queue.
+    pub queue_waiters: Waiters,
+    /// Statistics of plain backend servers.
+    pub plain_servers: RefCell<PlainServers>,
+    /// Work of this gateway at model engines, and the requests that wait for one.
+    pub engines: RefCell<EngineAdmission>,
+    /// Speed factors of prefill engines.
+    pub speed_factors: RefCell<SpeedFactors>,
+    /// Estimates learned for services and routes.
+    pub traffic_stats: RefCell<TrafficStats>,
+    /// Load reports of peers.
+    pub load_reports: RefCell<LoadReports>,
+    /// The scope, with the edition of the gateway list and the engine memory that it was
+    /// computed from.
     scope: Cell<((u64, u64), Scope)>,
-    /// Memory of all engines.
-    pub memory: RefCell<Memory>,
-    /// What other availability zones told.
-    pub digests: RefCell<Digests>,
-    /// Places here that requests of other zones have.
-    pub guests: RefCell<Guests>,
-    /// Extra arrivals, by service.
+    /// Memory of all engines, in tokens.
+    pub engine_memory: RefCell<Memory>,
+    /// Summaries of other availability zones.
+    pub zone_summaries: RefCell<ZoneSummaries>,
+    /// Reservations here that serve requests of other zones.
+    pub incoming: RefCell<IncomingReservations>,
+    /// Retry budgets, by service.
     budgets: RefCell<HashMap<String, Budget>>,
-    /// Gateways that are registered.
+    /// Registered gateways.
     pub fleet: RefCell<Fleet>,
-    /// This gateway's part in following the store.
-    pub role: RefCell<Role>,
-    /// Beliefs that are being fetched from peers.
-    pub pulls: RefCell<Pulls>,
-    /// Configurations on their way to peers.
+    /// Whether this gateway follows the store as a zone leader, and whether as the first one.
+    pub role: RefCell<LeaderState>,
+    /// Fetches of state from peers that are under way.
+    pub fetches: RefCell<Fetches>,
+    /// Configuration transfers to peers that are under way.
     pub uploads: Uploads,
-    /// Backend servers that want nothing from this process for a while.
-    pub pauses: RefCell<Pauses>,
-    /// Limits that backend servers name.
+    /// Back-offs that backend servers asked for.
+    pub back_offs: RefCell<BackOffs>,
+    /// Limits that backend servers report.
     pub limits: RefCell<ServerLimits>,
-    /// Contents under which backend servers ended.
+    /// Quarantine: requests suspected or confirmed to crash backend servers.
     pub quarantine: RefCell<Quarantine>,
-    /// Losses of which it is not known yet whether their servers ended.
-    pub losses: RefCell<Losses>,
-    /// Wakes who looks into them.
-    pub inquiries: Waiters,
-    /// What all gateways should hear beside what the store says.
-    pub notes: RefCell<Notes>,
-    /// Contents proved here that the store should know.
-    pub proofs: RefCell<Vec<Content>>,
-    /// Since when peers know something else beside what the store says.
-    pub drift: RefCell<Drift>,
-    /// Nobody is known to hold the right to order engines.
-    pub lock_free: Cell<bool>,
-    /// Engines that this process ordered to change their stage and that have not yet.
-    pub changing: RefCell<Vec<ServerId>>,
+    /// Lost attempts for which it is not known yet whether the server crashed.
+    pub lost_attempts: RefCell<LostAttempts>,
+    /// Wakes the tasks that investigate lost attempts and broadcast gossip state.
+    pub background_waiters: Waiters,
+    /// Gossip state to broadcast to all gateways.
+    pub outgoing_gossip: RefCell<GossipState>,
+    /// Requests confirmed here to crash servers that are not written to the store yet.
+    pub unsaved_confirmations: RefCell<Vec<RequestDigest>>,
+    /// Peers whose gossip state differs from this gateway's, and since when.
+    pub divergence: RefCell<DivergenceDetector>,
+    /// True while no gateway is known to be the leader that orders engines.
+    pub lock_available: Cell<bool>,
+    /// Engines that this gateway ordered to change their stage and that have not done so yet.
+    pub changing_engines: RefCell<Vec<ServerId>>,
     /// When the process was told to stop.
-    pub stopping: Cell<Option<Moment>>,
-    /// Requests being worked on.
-    pub open: Cell<usize>,
+    pub stopping: Cell<Option<Timestamp>>,
+    /// Number of requests in progress.
+    pub open_requests: Cell<usize>,
     /// Counters and histograms.
     pub metrics: Metrics,
-    born_at: Moment,
+    started_at: Timestamp,
     rng: RefCell<ChaCha8Rng>,
-    waiters: Waiters,
-    news: Cell<bool>,
-    teller: RefCell<Option<oneshot::Sender<()>>>,
-    outbox: mpsc::UnboundedSender<Letter>,
-    letters: Cell<Option<mpsc::UnboundedReceiver<Letter>>>,
+    capacity_waiters: Waiters,
+    report_requested: Cell<bool>,
+    reporter: RefCell<Option<oneshot::Sender<()>>>,
+    outbox: mpsc::UnboundedSender<Message>,
+    outbox_receiver: Cell<Option<mpsc::UnboundedReceiver<Message>>>,
 }
 
-/// News for one peer.
-pub type Letter = (SocketAddr, News);
+/// A message for one peer.
+pub type Message = (SocketAddr, GossipMessage);
 
 impl Shared {
-    /// State of a process that knows nothing yet.
+    /// Initial state of a process: no configuration, no servers, no peers.
     pub fn new(
         node: Node,
         clock: Clock,
@@ -178,7 +180,7 @@
     ) -> Rc<Self> {
         let pool = Rc::new(Pool::new(clock));
         let store = StoreClient::new(pool.clone(), node.store);
-        let (outbox, letters) = mpsc::unbounded();
+        let (outbox, outbox_receiver) = mpsc::unbounded();
         Rc::new(Shared {
             clock,
             node: RefCell::new(Rc::new(node)),
@@ -187,66 +189,66 @@
             store,
             config: RefCell::default(),
             roster: RefCell::default(),
-            recency: RefCell::default(),
-            unread: Cell::default(),
-            homes: RefCell::default(),
-            lender: RefCell::new(Lender::new(clock.now())),
-            borrower: RefCell::default(),
-            silent: RefCell::default(),
-            asked: RefCell::default(),
-            fresh: RefCell::default(),
-            patience: RefCell::default(),
-            lines: RefCell::default(),
-            line_waiters: Waiters::default(),
-            plain: RefCell::default(),
+            config_staleness: RefCell::default(),
+            config_unreadable: Cell::default(),
+            quota_owners: RefCell::default(),
+            lease_issuer: RefCell::new(LeaseIssuer::new(clock.now())),
+            token_leases: RefCell::default(),
+            unresponsive_owners: RefCell::default(),
+            pending_asks: RefCell::default(),
+            store_state: RefCell::default(),
+            caller_deadlines: RefCell::default(),
+            admission_queues: RefCell::default(),
+            queue_waiters: Waiters::default(),
+            plain_servers: RefCell::default(),
             engines: RefCell::default(),
-            paces: RefCell::default(),
-            learned: RefCell::default(),
-            shares: RefCell::default(),
+            speed_factors: RefCell::default(),
+            traffic_stats: RefCell::default(),
+            load_reports: RefCell::default(),
             scope: Cell::new(((0, 0), Scope::All)),
-            memory: RefCell::default(),
-            digests: RefCell::default(),
-            guests: RefCell::default(),
+            engine_memory: RefCell::default(),
+            zone_summaries: RefCell::default(),
+            incoming: RefCell::default(),
             budgets: RefCell::default(),
             fleet: RefCell::default(),
-            role: RefCell::new(Role::new(clock.now())),
-            pulls: RefCell::default(),
+            role: RefCell::new(LeaderState::new(clock.now())),
+            fetches: RefCell::default(),
             uploads: Uploads::default(),
-            pauses: RefCell::default(),
+            back_offs: RefCell::default(),
             limits: RefCell::default(),
             quarantine: RefCell::default(),
-            losses: RefCell::default(),
-            inquiries: Waiters::default(),
-            notes: RefCell::default(),
-            proofs: RefCell::default(),
-            drift: RefCell::default(),
-            lock_free: Cell::new(true),
-            changing: RefCell::default(),
+            lost_attempts: RefCell::default(),
+            background_waiters: Waiters::default(),
+            outgoing_gossip: RefCell::default(),
+            unsaved_confirmations: RefCell::default(),
+            divergence: RefCell::default(),
+            lock_available: Cell::new(true),
+            changing_engines: RefCell::default(),
             stopping: Cell::default(),
-            open: Cell::new(0),
+            open_requests: Cell::new(0),
             metrics,
-            born_at: clock.now(),
+            started_at: clock.now(),
             rng: RefCell::new(rng),
-            waiters: Waiters::default(),
-            news: Cell::default(),
-            teller: RefCell::default(),
+            capacity_waiters: Waiters::default(),
+            report_requested: Cell::default(),
+            reporter: RefCell::default(),
             outbox,
-            letters: Cell::new(Some(letters)),
+            outbox_receiver: Cell::new(Some(outbox_receiver)),
         })
     }
 
-    /// The present moment.
-    pub fn now(&self) -> Moment {
+    /// The current time.
+    pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// Uniform in 0..1.
-    pub fn draw(&self) -> f64 {
+    /// A random number, uniform in 0..1.
+    pub fn random_fraction(&self) -> f64 {
         self.rng.borrow_mut().random()
     }
 
-    /// A number that no other gateway is likely to draw.
-    pub fn draw_number(&self) -> u64 {
+    /// A random id that no other gateway is likely to choose.
+    pub fn random_id(&self) -> u64 {
         self.rng.borrow_mut().random()
     }
 
@@ -260,50 +262,51 @@
         self.config.borrow().clone()
     }
 
-    /// Puts a configuration in force unless an equal or newer one is; true when it did.
-    pub fn offer(&self, config: Config) -> bool {
-        let mut held = self.config.borrow_mut();
-        if held.as_ref().is_some_and(|c| c.version >= config.version) {
+    /// Applies a configuration if it is newer than the one in force; returns true if it was
+    /// applied.
+    pub fn apply_config(&self, config: Config) -> bool {
+        let mut current = self.config.borrow_mut();
+        if current.as_ref().is_some_and(|c| c.version >= config.version) {
             return false;
         }
-        self.recency.borrow_mut().on_version(config.version);
-        *held = Some(Rc::new(config));
+        self.config_staleness.borrow_mut().on_version(config.version);
+        *current = Some(Rc::new(config));
         true
     }
 
-    /// Sends news to one peer.
-    pub fn post(&self, to: SocketAddr, news: News) {
-        // The receiver lives as long as the process.
-        let _ = self.outbox.unbounded_send((to, news));
+    /// Queues a message to one peer.
+    pub fn queue_message(&self, to: SocketAddr, message: GossipMessage) {
+        // The receiver lives as long as the process, so this can't fail.
+        let _ = self.outbox.unbounded_send((to, message));
     }
 
-    /// What is to be sent to single peers; given once.
-    pub fn letters(&self) -> Option<mpsc::UnboundedReceiver<Letter>> {
-        self.letters.take()
+    /// The receiver of queued messages; returned once.
+    pub fn take_outbox(&self) -> Option<mpsc::UnboundedReceiver<Message>> {
+        self.outbox_receiver.take()
     }
 
-    /// May callers be taken?
+    /// True if requests of callers can be served.
     pub fn is_ready(&self) -> bool {
         !self.is_stopping() && self.config.borrow().is_some() && self.roster.borrow().is_complete()
     }
 
-    /// Was the process told to stop?
+    /// True once the process was told to stop.
     pub fn is_stopping(&self) -> bool {
         self.stopping.get().is_some()
     }
 
-    /// Live gateways, this one included.
-    pub fn entries(&self) -> usize {
-        let heard = 1 + self.shares.borrow().live(self.now());
-        heard.max(self.fleet.borrow().all().len())
+    /// Number of live gateways, this one included.
+    pub fn gateway_count(&self) -> usize {
+        let live = 1 + self.load_reports.borrow().live(self.now());
+        live.max(self.fleet.borrow().all().len())
     }
 
-    /// Who shares engines and all news with this gateway.
+    /// Whether engines are shared with all gateways or with those of this zone only.
     pub fn scope(&self) -> Scope {
-        let (fleet, tokens) = (self.fleet.borrow(), self.memory.borrow().tokens());
+        let (fleet, tokens) = (self.fleet.borrow(), self.engine_memory.borrow().tokens());
         let key = (fleet.edition(), tokens);
-        let (judged, scope) = self.scope.get();
-        if judged == key {
+        let (computed_from, scope) = self.scope.get();
+        if computed_from == key {
             return scope;
         }
         let scope = zones::scope(&fleet, tokens);
@@ -311,168 +314,175 @@
         scope
     }
 
-    /// The zone whose engines are placed at from here; none when all are.
+    /// The zone whose engines this gateway uses; none if it uses those of all zones.
     pub fn zone(&self) -> Option<String> {
         (self.scope() == Scope::Zone).then(|| self.node().zone.clone())
     }
 
-    /// Gateways that place at the same engines, this one included.
-    pub fn neighbours(&self) -> usize {
+    /// Number of gateways that use the same engines, this one included.
+    pub fn gateways_in_scope(&self) -> usize {
         match self.scope() {
-            Scope::All => self.entries(),
+            Scope::All => self.gateway_count(),
             Scope::Zone => self.fleet.borrow().of_zone(&self.node().zone).count().max(1),
         }
     }
 
-    /// How many gateways of this availability zone take duties before this one; none while it is not
-    /// known to be registered.
+    /// Number of gateways of this availability zone that rank before this one; none if this
+    /// gateway is not known to be registered.
     pub fn rank(&self) -> Option<usize> {
         let (node, fleet) = (self.node(), self.fleet.borrow());
-        fleet.ahead(&node.name).map(Iterator::count)
+        fleet.higher_ranked(&node.name).map(Iterator::count)
     }
 
-    /// Looks how much memory all engines have.
+    /// Records how much memory all engines have.
     pub fn measure_memory(&self) {
         let Some(config) = self.config() else {
             return;
         };
         let roster = self.roster.borrow();
-        let held = config.services.iter().filter_map(|service| {
+        let memory = config.services.iter().filter_map(|service| {
             let tokens = service.engine.as_ref()?.tokens;
             Some(tokens * roster.ready(&service.name).count() as u64)
         });
-        self.memory.borrow_mut().observe(self.now(), held.sum());
+        self.engine_memory.borrow_mut().observe(self.now(), memory.sum());
     }
 
-    /// Judges anew whether this gateway follows the store; one that does not goes by what those say
-    /// that do.
-    pub fn judge_role(&self) {
+    /// Decides anew whether this gateway follows the store. A gateway that does not follow the
+    /// store relies on the store access of those that do.
+    pub fn update_role(&self) {
         let (now, node) = (self.now(), self.node());
-        let (fleet, shares) = (self.fleet.borrow(), self.shares.borrow());
-        let heard = |name: &str| matches!(shares.link(now, name), Some(Link::Heard { .. }));
-        let ahead: Vec<&str> = fleet.ahead(&node.name).map_or_else(Vec::new, Iterator::collect);
-        let (all, heard) = (ahead.len(), ahead.iter().filter(|n| heard(n)).count());
-        // Who has not read the whole list yet reads it: that is faster than to be given it.
-        let heard = if self.roster.borrow().is_complete() { heard } else { 0 };
+        let (fleet, shares) = (self.fleet.borrow(), self.load_reports.borrow());
+        let reaches_store =
+            |name: &str| matches!(shares.link(now, name), Some(StoreLink::Heard { .. }));
+        let ahead: Vec<&str> =
+            fleet.higher_ranked(&node.name).map_or_else(Vec::new, Iterator::collect);
+        let (ahead_count, reaching) =
+            (ahead.len(), ahead.iter().filter(|n| reaches_store(n)).count());
+        // A gateway without a complete server registry reads it from the store, which is faster
+        // than to wait for peers.
+        let reaching = if self.roster.borrow().is_complete() { reaching } else { 0 };
         let mut role = self.role.borrow_mut();
         let before = role.follows();
-        role.judge(now, all, heard);
+        role.update(now, ahead_count, reaching);
         if role.follows() != before {
             tracing::info!(
                 follows = role.follows(),
-                ahead = all,
-                heard,
-                "part in following the store"
+                ahead = ahead_count,
+                heard = reaching,
+                "role in following the store changed"
             );
             self.metrics.gauge("gateway.follows", u64::from(role.follows()));
         }
         if !role.follows() {
             let link = shares.best_link(now);
             if let Some(at) = shares.known_at(now, self.roster.borrow().revision()) {
-                self.fresh.borrow_mut().known(at);
+                self.store_state.borrow_mut().known(at);
             }
-            if self.fresh.borrow_mut().adopt(now, link) {
-                tracing::info!(?link, "store, as peers hear it");
+            if self.store_state.borrow_mut().adopt(now, link) {
+                tracing::info!(?link, "store access as reported by peers changed");
             }
         }
     }
 
-    /// Extra arrivals at a service.
-    pub fn budget(&self, service: &str) -> RefMut<'_, Budget> {
-        let new = || Budget::new(self.born_at);
+    /// Retry budget of a service.
+    pub fn retry_budget(&self, service: &str) -> RefMut<'_, Budget> {
+        let new = || Budget::new(self.started_at);
         RefMut::map(self.budgets.borrow_mut(), |all| {
             all.entry(service.to_owned()).or_insert_with(new)
         })
     }
 
-    /// Work of this and all other gateways at an engine.
-    pub fn work(&self, id: &ServerId) -> Work {
-        let peers = self.shares.borrow().work(self.now(), id);
-        self.engines.borrow().own(id).plus(peers)
+    /// Load of all gateways, this one included, at an engine.
+    pub fn engine_load(&self, id: &ServerId) -> EngineLoad {
+        let peers = self.load_reports.borrow().work(self.now(), id);
+        self.engines.borrow().own_load(id).plus(peers)
     }
 
-    /// What is learned of a service.
-    pub fn service(&self, name: &str) -> RefMut<'_, Service> {
-        RefMut::map(self.learned.borrow_mut(), |all| all.service(name))
+    /// Estimates learned for a service.
+    pub fn service_estimates(&self, name: &str) -> RefMut<'_, ServiceStats> {
+        RefMut::map(self.traffic_stats.borrow_mut(), |all| all.service(name))
     }
 
-    /// These engines are changing their stage: nothing is sent there for a few rounds of news.
-    pub fn rest(&self, changing: &[ServerId]) {
-        let until = self.now().after(CHANGE_REST);
+    /// Sends nothing for a while to engines that are changing their stage.
+    pub fn back_off(&self, changing: &[ServerId]) {
+        let until = self.now().after(STAGE_CHANGE_BACKOFF);
         let mut engines = self.engines.borrow_mut();
         for id in changing {
-            engines.rest(id, until);
+            engines.back_off(id, until);
         }
     }
 
-    /// What decisions are based on now, for the log.
-    pub fn basis(&self) -> Basis {
-        let known_at = self.fresh.borrow().known_at();
-        Basis {
+    /// Versions and age of the current state, for log lines of decisions.
+    pub fn snapshot_version(&self) -> SnapshotVersion {
+        let known_at = self.store_state.borrow().known_at();
+        SnapshotVersion {
             config: self.config.borrow().as_ref().map_or(0, |c| c.version),
             roster: self.roster.borrow().revision(),
             age: self.now().since(known_at).as_millis() as u64,
         }
     }
 
-    /// Work at an engine began or ended: peers should hear of it.
-    pub fn note_news(&self) {
-        self.news.set(true);
-        if let Some(sender) = self.teller.take() {
-            // The teller may be between two rounds.
+    /// Requests a load report: load at an engine has changed.
+    pub fn request_report(&self) {
+        self.report_requested.set(true);
+        if let Some(sender) = self.reporter.take() {
+            // The reporting task may be between two rounds and not be listening.
             let _ = sender.send(());
         }
     }
 
-    /// Resolves when there is something that peers should hear of, at once if there is already.
-    pub fn news(&self) -> oneshot::Receiver<()> {
+    /// Resolves when a load report is requested; at once if a request is pending.
+    pub fn report_requested(&self) -> oneshot::Receiver<()> {
         let (sender, receiver) = oneshot::channel();
-        self.teller.replace(Some(sender));
-        if self.news.get() {
-            self.note_news();
+        self.reporter.replace(Some(sender));
+        if self.report_requested.get() {
+            self.request_report();
         }
         receiver
     }
 
-    /// What there is so far is about to be told; later news is told with the next datagram.
-    pub fn told(&self) {
-        self.news.set(false);
+    /// Clears the request for a load report, as one is about to be sent. Later changes request
+    /// another one.
+    pub fn clear_report_request(&self) {
+        self.report_requested.set(false);
     }
 
-    /// Resolves when a place may have come free.
-    pub fn wake(&self) -> oneshot::Receiver<()> {
-        self.waiters.wake()
+    /// Resolves when capacity may have become free.
+    pub fn capacity_freed(&self) -> oneshot::Receiver<()> {
+        self.capacity_waiters.wait()
     }
 
-    /// A place may have come free.
+    /// Wakes all requests that wait for capacity.
     pub fn wake_all(&self) {
-        self.waiters.wake_all();
+        self.capacity_waiters.wake_all();
     }
 
-    /// Calls of a plain service.
-    pub fn line(&self, service: &str) -> RefMut<'_, Line> {
-        RefMut::map(self.lines.borrow_mut(), |all| all.entry(service.to_owned()).or_default())
+    /// Admission queue of a plain service.
+    pub fn admission_queue(&self, service: &str) -> RefMut<'_, AdmissionQueue> {
+        RefMut::map(self.admission_queues.borrow_mut(), |all| {
+            all.entry(service.to_owned()).or_default()
+        })
     }
 }
 
-/// Tasks that wait for something to come free.
+/// Tasks that wait to be woken.
 #[derive(Default)]
 pub struct Waiters {
     senders: RefCell<Vec<oneshot::Sender<()>>>,
 }
 
 impl Waiters {
-    /// Resolves when something may have come free.
-    pub fn wake(&self) -> oneshot::Receiver<()> {
+    /// Resolves at the next `wake_all`.
+    pub fn wait(&self) -> oneshot::Receiver<()> {
         let (sender, receiver) = oneshot::channel();
         self.senders.borrow_mut().push(sender);
         receiver
     }
 
-    /// Something may have come free.
+    /// Wakes all waiting tasks.
     pub fn wake_all(&self) {
         for sender in self.senders.take() {
-            // A receiver that is gone stopped waiting.
+            // An error means that the task has stopped waiting.
             let _ = sender.send(());
         }
     }
--- /dev/null
+++ b/crates/daemon/src/gateway/stream/admission.rs
@@ -0,0 +1,329 @@
+//! Admission: memory is reserved at a decode engine before the prompt is read.
+
+use std::time::Duration;
+
+use ebonyloft_core::time::Timestamp;
+use ebonyloft_platform::engine;
+use ebonyloft_router::answer_length::LengthForecast;
+use ebonyloft_router::catalog::{Engine, Server, ServerId, Stage};
+use ebonyloft_router::engines::{AdmissionContext, AdmissionDecision, Demand, Shortage};
+use ebonyloft_router::forecast::MemoryForecast;
+use ebonyloft_router::load_report::EngineLoad;
+use ebonyloft_router::registry::ServerRegistry;
+use futures_util::future::select;
+
+use super::state::{Reservation, StreamState};
+use super::{StreamError, overflow, prefill};
+use crate::gateway::announcements;
+use crate::gateway::answer::Cause;
+use crate::gateway::intake::Intake;
+use crate::gateway::limits;
+use crate::gateway::shared::{Shared, SnapshotVersion};
+
+/// Requests that an engine gets for one answer: the reservation, and the run that uses it.
+const REQUESTS_PER_ANSWER: u64 = 2;
+/// Timeout of a reservation; an engine answers within a few milliseconds.
+const RESERVE_TIMEOUT: Duration = Duration::from_millis(150);
+/// Deadline for continuing an interrupted stream: callers give up after a few seconds without an
+/// event.
+const RESUME_WITHIN: Duration = Duration::from_millis(1_000);
+
+/// Reserves memory at a decode engine; waits in the admission queue if that is worthwhile.
+pub async fn admit(
+    shared: &Shared,
+    intake: &Intake,
+    spec: &Engine,
+    state: &mut StreamState,
+    tried: &[ServerId],
+    resumed: bool,
+) -> Result<Server, StreamError> {
+    let joined_at = shared.now();
+    let growth = expected_growth(shared, intake);
+    let need = need(shared, intake, state, growth, joined_at, resumed);
+    let read_at = prefill::predicted_ready_at(shared, intake, state, joined_at);
+    let ticket = shared.engines.borrow_mut().join(joined_at, need, read_at);
+    state.ticket = Some(ticket);
+    loop {
+        let now = shared.now();
+        if let Some(at) =
+            all_backed_off_until(shared, intake, tried).filter(|at| *at >= need.first_by)
+        {
+            leave_queue(shared, state);
+            return Err(StreamError::Refused(Cause::Overload, Some(at)));
+        }
+        let advice = advise(shared, intake, spec, state, tried, now);
+        let lacks_now = || lacks_capacity(shared, intake, spec, state, &need, now);
+        if !matches!(advice, AdmissionDecision::Ask(_))
+            && overflow::is_allowed(shared, state)
+            && lacks_now()
+            && let Some(zone) = overflow::choose_zone(shared, intake, state, &need)
+        {
+            if let Some(server) =
+                overflow::reserve(shared, intake, state, &need, growth, zone).await
+            {
+                leave_queue(shared, state);
+                log_placed(shared, intake, spec, &need, &server, joined_at);
+                return Ok(server);
+            }
+            continue;
+        }
+        match advice {
+            AdmissionDecision::Ask(id) => {
+                if let Some(server) =
+                    reserve_at(shared, spec, state, &id, need.memory, growth).await
+                {
+                    leave_queue(shared, state);
+                    log_placed(shared, intake, spec, &need, &server, joined_at);
+                    return Ok(server);
+                }
+            }
+            AdmissionDecision::Wait(until) => {
+                let timer = std::pin::pin!(compio::time::sleep(until.since(now)));
+                select(shared.capacity_freed(), timer).await;
+            }
+            AdmissionDecision::Refuse(retry_at, lack) => {
+                leave_queue(shared, state);
+                log_refused(shared, intake, spec, &need, state, joined_at, lack);
+                return Err(StreamError::Refused(Cause::Overload, Some(retry_at)));
+            }
+        }
+    }
+}
+
+/// When the first decode engine accepts requests again, if all that could be asked have asked for
+/// a back-off. Engines of other zones count too, since this zone's gateways may ask those zones.
+fn all_backed_off_until(shared: &Shared, intake: &Intake, tried: &[ServerId]) -> Option<Timestamp> {
+    let roster = shared.roster.borrow();
+    let engines = roster.ready(&intake.service).filter(|s| s.stage == Some(Stage::Decode));
+    let left = engines.filter(|s| !tried.contains(&s.id));
+    announcements::available_at(shared, left)
+}
+
+/// Expected growth of the answer, as learned for its route.
+fn expected_growth(shared: &Shared, intake: &Intake) -> LengthForecast {
+    let mut learned = shared.traffic_stats.borrow_mut();
+    learned.lengths(&intake.route().name).expect(intake.caller.max_output, intake.caller.hint)
+}
+
+fn need(
+    shared: &Shared,
+    intake: &Intake,
+    state: &StreamState,
+    growth: LengthForecast,
+    now: Timestamp,
+    resumed: bool,
+) -> Demand {
+    let first_by = if resumed { now.after(RESUME_WITHIN) } else { intake.goal_at };
+    let prompt = intake.caller.prompt_tokens;
+    let mut learned = shared.service_estimates(&intake.service);
+    learned.usual.observe(&growth, prompt);
+    if !resumed {
+        learned.shape.observe(prompt as f64, growth.length());
+    }
+    let memory = growth.memory_forecast(prompt, state.generated);
+    let gives = learned.usual.gives(&growth, prompt);
+    Demand { memory, first_by, ends_at: intake.ends_at, value: gives, begun: resumed }
+}
+
+fn advise(
+    shared: &Shared,
+    intake: &Intake,
+    spec: &Engine,
+    state: &StreamState,
+    tried: &[ServerId],
+    now: Timestamp,
+) -> AdmissionDecision {
+    let read_at = prefill::predicted_ready_at(shared, intake, state, now);
+    let entries = shared.gateways_in_scope();
+    let roster = shared.roster.borrow();
+    let servers =
+        decode_engines(shared, &roster, &intake.service).filter(|s| !tried.contains(&s.id));
+    let shares = shared.load_reports.borrow();
+    let ticket = state.ticket.expect("a queued request has a ticket");
+    let work = |id: &ServerId| shares.work(now, id);
+    let view = AdmissionContext { engine: spec, read_at, entries };
+    shared.engines.borrow().advise(now, ticket, &view, servers, work, || shared.random_fraction())
+}
+
+/// True if this zone's engines can't serve the request now.
+fn lacks_capacity(
+    shared: &Shared,
+    intake: &Intake,
+    spec: &Engine,
+    state: &StreamState,
+    need: &Demand,
+    now: Timestamp,
+) -> bool {
+    let read_at = prefill::predicted_ready_at(shared, intake, state, now);
+    let (roster, shares) = (shared.roster.borrow(), shared.load_reports.borrow());
+    let view = AdmissionContext { engine: spec, read_at, entries: shared.gateways_in_scope() };
+    let servers = decode_engines(shared, &roster, &intake.service);
+    let work = |id: &ServerId| shares.work(now, id);
+    shared.engines.borrow().is_short(now, need, &view, servers, work)
+}
+
+/// A service's decode engines that this gateway uses, without those that asked for a back-off.
+pub fn decode_engines<'a>(
+    shared: &'a Shared,
+    roster: &'a ServerRegistry,
+    service: &'a str,
+) -> impl Iterator<Item = &'a Server> {
+    let zone = shared.zone();
+    let here = move |s: &&Server| zone.as_ref().is_none_or(|zone| s.zone == *zone);
+    let open = |s: &&Server| !announcements::is_unavailable(shared, &s.id);
+    roster.ready(service).filter(|s| s.stage == Some(Stage::Decode)).filter(here).filter(open)
+}
+
+/// Free memory in percent, for the log.
+fn free_percent(shared: &Shared, intake: &Intake, spec: &Engine) -> u64 {
+    (free_fraction(shared, &intake.service, spec) * 100.0) as u64
+}
+
+/// Free fraction of the memory of all decode engines that this gateway uses.
+pub fn free_fraction(shared: &Shared, service: &str, spec: &Engine) -> f64 {
+    let (now, roster) = (shared.now(), shared.roster.borrow());
+    let shares = shared.load_reports.borrow();
+    let servers: Vec<&Server> = decode_engines(shared, &roster, service).collect();
+    let engines = shared.engines.borrow();
+    engines.free_fraction(now, &servers, spec, |id| shares.work(now, id))
+}
+
+/// Number of typical requests that fit into the engines that this gateway uses.
+pub fn free_slots(shared: &Shared, service: &str, spec: &Engine) -> u32 {
+    let usual = shared.service_estimates(service).shape.memory();
+    let (now, roster) = (shared.now(), shared.roster.borrow());
+    let shares = shared.load_reports.borrow();
+    let servers: Vec<&Server> = decode_engines(shared, &roster, service).collect();
+    let engines = shared.engines.borrow();
+    engines.free_capacity(now, &servers, spec, usual, |id| shares.work(now, id))
+}
+
+fn leave_queue(shared: &Shared, state: &mut StreamState) {
+    if let Some(ticket) = state.ticket.take() {
+        shared.engines.borrow_mut().leave(ticket);
+    }
+    shared.wake_all();
+}
+
+/// Asks one engine for a reservation.
+async fn reserve_at(
+    shared: &Shared,
+    spec: &Engine,
+    state: &mut StreamState,
+    id: &ServerId,
+    memory: MemoryForecast,
+    growth: LengthForecast,
+) -> Option<Server> {
+    let server = shared.roster.borrow().get(id).cloned()?;
+    state.reservation =
+        Some(Reservation { server: server.clone(), hold_id: None, memory, growth, remote: None });
+    let hold = reserve(shared, spec, &server, memory).await;
+    if let (Some(reservation), Some(hold)) = (&mut state.reservation, hold) {
+        reservation.hold_id = Some(hold);
+        return Some(server);
+    }
+    state.reservation = None;
+    None
+}
+
+/// Counts memory at an engine and reserves it there. If the engine refuses, the memory is no
+/// longer counted, and the engine is not asked again for a while.
+pub async fn reserve(
+    shared: &Shared,
+    spec: &Engine,
+    server: &Server,
+    memory: MemoryForecast,
+) -> Option<String> {
+    let id = &server.id;
+    if !limits::acquire(shared, id, REQUESTS_PER_ANSWER).await {
+        return None;
+    }
+    shared.engines.borrow_mut().on_reserved(id, memory);
+    shared.request_report();
+    let req = engine::reserve(id, memory.reserved(), spec.hold.as_millis() as u64);
+    let answer = announcements::call(shared, server, req, RESERVE_TIMEOUT).await;
+    let now = shared.now();
+    let hold =
+        answer.as_ref().ok().and_then(|(status, body)| engine::parse_reservation(*status, body));
+    if hold.is_some() {
+        return hold;
+    }
+    let work = shared.engine_load(id);
+    let mut engines = shared.engines.borrow_mut();
+    engines.on_released(now, id, memory, false);
+    match answer {
+        Ok((status, _)) => {
+            let EngineLoad { memory: all, count, .. } = work;
+            let asked = memory.reserved();
+            tracing::info!(
+                server = %id, %status, asked, tokens = all.now(), peak = all.peak(), count,
+                "engine refused reservation"
+            );
+            shared.metrics.count("gateway.hold.full", 1);
+            engines.on_full(now, id);
+        }
+        Err(e) => {
+            tracing::info!(server = %id, error = %e, "can't reach engine");
+            // An engine that is leaving or asked for a back-off got no request, so it has no
+            // fault.
+            if announcements::accepts_requests(shared, id) {
+                engines.on_fault(now, id);
+            }
+        }
+    }
+    None
+}
+
+fn log_refused(
+    shared: &Shared,
+    intake: &Intake,
+    spec: &Engine,
+    need: &Demand,
+    state: &StreamState,
+    joined_at: Timestamp,
+    lack: Shortage,
+) {
+    let free = free_percent(shared, intake, spec);
+    let now = shared.now();
+    let ms = now.since(joined_at).as_millis() as u64;
+    let read =
+        prefill::predicted_ready_at(shared, intake, state, now).since(now).as_millis() as u64;
+    let left = intake.goal_at.since(now).as_millis() as u64;
+    let waiting = shared.engines.borrow().waiting();
+    let SnapshotVersion { config, roster, age } = shared.snapshot_version();
+    tracing::info!(
+        id = intake.id(),
+        ms,
+        waiting,
+        read,
+        left,
+        gives = need.value,
+        free,
+        ?lack,
+        config,
+        roster,
+        age,
+        "no place in time"
+    );
+}
+
+fn log_placed(
+    shared: &Shared,
+    intake: &Intake,
+    spec: &Engine,
+    need: &Demand,
+    server: &Server,
+    joined_at: Timestamp,
+) {
+    let free = free_percent(shared, intake, spec);
+    let work = shared.engine_load(&server.id);
+    let ms = shared.now().since(joined_at).as_millis() as u64;
+    let SnapshotVersion { config, roster, age } = shared.snapshot_version();
+    tracing::info!(
+        id = intake.id(), server = %server.id, prompt = intake.caller.prompt_tokens,
+        output = intake.caller.max_output, hint = intake.caller.hint, tokens = work.memory.now(),
+        peak = work.memory.peak(),
+        count = work.count, ms, gives = need.value, free, config, roster, age, "placed"
+    );
+    shared.metrics.time("gateway.place_ms", ms);
+}
--- a/crates/router/benches/accounts.rs
+++ b/crates/router/benches/accounts.rs
@@ -1,4 +1,4 @@
-//! Times of a key's look-up and of a quota's decision.
+//! Benchmarks of the key lookup and of quota decisions.
 
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -6,13 +6,13 @@
 use criterion::{Criterion, criterion_group, criterion_main};
 use ebonyloft_core::config::Rate;
 use ebonyloft_core::ids::Digest;
-use ebonyloft_core::time::Moment;
+use ebonyloft_core::time::Timestamp;
 use ebonyloft_router::accounts::{Account, Accounts};
 use ebonyloft_router::fleet::{Fleet, Gateway};
-use ebonyloft_router::quota::borrower::Borrower;
-use ebonyloft_router::quota::homes::Homes;
-use ebonyloft_router::quota::lender::Lender;
-use ebonyloft_router::quota::{Ask, Key};
+use ebonyloft_router::quota::issuer::LeaseIssuer;
+use ebonyloft_router::quota::leases::TokenLeases;
+use ebonyloft_router::quota::ownership::Owners;
+use ebonyloft_router::quota::{LeaseRequest, LimitKey};
 
 fn accounts(count: usize) -> Accounts {
     let account = |n: usize| Account {
@@ -31,45 +31,50 @@
     };
     let list: BTreeMap<_, _> = (0..count).map(|i| (format!("front-{i}"), gateway(i))).collect();
     let mut fleet = Fleet::default();
-    fleet.replace(Moment::default(), list, 1);
+    fleet.replace(Timestamp::default(), list, 1);
     fleet
 }
 
-fn look_up(c: &mut Criterion) {
+fn look_up_key(c: &mut Criterion) {
     let all = accounts(18_000);
     let key = Digest::of(b"9000b");
-    c.bench_function("key of 36,000", |b| b.iter(|| black_box(&all).of_key(black_box(&key))));
+    c.bench_function("key of 36,000", |b| b.iter(|| black_box(&all).find_by_key(black_box(&key))));
     c.bench_function("digest of a key", |b| {
         b.iter(|| Digest::of(black_box(b"banfqasnmgkcuyj8pjbv")));
     });
 }
 
-fn decide(c: &mut Criterion) {
-    let (fleet, account) = (fleet(410), Key::account("account-7"));
+fn decide_quota(c: &mut Criterion) {
+    let (fleet, account) = (fleet(410), LimitKey::account("account-7"));
     let bound = Rate { rate: 1e12, burst: 1e12 };
-    let now = Moment::from_millis(60_000);
-    let mut homes = Homes::default();
+    let now = Timestamp::from_millis(60_000);
+    let mut homes = Owners::default();
     c.bench_function("home of an account, 410 gateways", |b| {
         b.iter(|| homes.ranked(black_box(&fleet), &account));
     });
-    let mut lender = Lender::new(Moment::default());
+    let mut lender = LeaseIssuer::new(Timestamp::default());
     let mut number = 0;
     c.bench_function("a loan", |b| {
         b.iter(|| {
             number += 1;
-            let ask =
-                Ask { number, key: Key::account("account-7"), need: 100, more: 0, limit: None };
-            // Loans of an earlier moment are forgotten.
-            let at = Moment::from_millis(60_000 + number / 4);
-            lender.lend(at, &ask, &bound, 1.0, true)
+            let ask = LeaseRequest {
+                number,
+                key: LimitKey::account("account-7"),
+                need: 100,
+                more: 0,
+                limit: None,
+            };
+            // The time moves on, so that grants of earlier iterations expire.
+            let at = Timestamp::from_millis(60_000 + number / 4);
+            lender.grant(at, &ask, &bound, 1.0, true)
         });
     });
-    let mut borrower = Borrower::default();
-    borrower.lent(&account, now, u64::MAX / 2);
+    let mut borrower = TokenLeases::default();
+    borrower.on_granted(&account, now, u64::MAX / 2);
     c.bench_function("a request that is held here", |b| {
-        b.iter(|| borrower.take(now, &account, 100));
+        b.iter(|| borrower.spend(now, &account, 100));
     });
 }
 
-criterion_group!(benches, look_up, decide);
+criterion_group!(benches, look_up_key, decide_quota);
 criterion_main!(benches);
--- /dev/null
+++ b/crates/router/src/fetches.rs
@@ -0,0 +1,124 @@
+//! Decides what is fetched from which peer, and when.
+//!
+//! Peers announce the versions of what they know, and a gateway fetches what is newer. A
+//! configuration may take seconds over a slow link and has a bound of seconds, while a list of
+//! backend servers that leave is small and urgent. So each kind has its own call, and only one at a
+//! time, so that the same configuration does not come from several peers at once.
+
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use ebonyloft_core::time::Timestamp;
+use serde::{Deserialize, Serialize};
+
+/// Shortest time between two calls of one kind to the same peer, so that a peer that is always
+/// slightly ahead is not called after each of its messages.
+const PEER_INTERVAL: Duration = Duration::from_millis(150);
+/// Back-off of a kind after a peer had nothing newer; another peer may have it.
+const BACKOFF: Duration = Duration::from_millis(50);
+
+/// How long a gateway that reaches the store waits for the store's own update when peers have newer
+/// lists: it gathers changes for 0.15 s, and a slow store answers within 0.3 s.
+const STORE_WAIT: Duration = Duration::from_millis(500);
+
+/// Versions of the state that a gateway has.
+#[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
+pub struct Versions {
+    /// Version of the configuration.
+    pub config: u64,
+    /// Revision of the list of backend servers.
+    pub roster: u64,
+    /// Revision of the list of gateways.
+    pub fleet: u64,
+}
+
+impl Versions {
+    /// Nothing is newer than this.
+    const ALL: Versions = Versions { config: u64::MAX, roster: u64::MAX, fleet: u64::MAX };
+
+    /// The versions to send when only one kind is requested: the others are marked as up to date.
+    pub fn asking(self, part: FetchKind) -> Versions {
+        match part {
+            FetchKind::Config => Versions { config: self.config, ..Versions::ALL },
+            FetchKind::Lists => Versions { config: u64::MAX, ..self },
+        }
+    }
+
+    /// Does a peer with the versions `theirs` have a newer state of this kind?
+    pub fn is_older(self, part: FetchKind, theirs: Versions) -> bool {
+        match part {
+            FetchKind::Config => theirs.config > self.config,
+            FetchKind::Lists => theirs.roster > self.roster || theirs.fleet > self.fleet,
+        }
+    }
+}
+
+/// What one call fetches.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub enum FetchKind {
+    /// The configuration.
+    Config,
+    /// The lists of backend servers and of gateways.
+    Lists,
+}
+
+/// Calls in progress and recent calls.
+#[derive(Clone, Debug, Default)]
+pub struct Fetches {
+    config: CallState,
+    lists: CallState,
+    /// Revisions of the local lists, and since when peers have had newer ones.
+    lists_known: (u64, u64),
+    behind_since: Option<Timestamp>,
+}
+
+#[derive(Clone, Debug, Default)]
+struct CallState {
+    in_progress: bool,
+    started: HashMap<SocketAddr, Timestamp>,
+    backoff_until: Timestamp,
+}
+
+impl Fetches {
+    /// Should a gateway that reaches the store itself fetch the lists of a peer with the versions
+    /// `theirs`? Not while the store's own update may still arrive.
+    pub fn is_behind(&mut self, now: Timestamp, own: Versions, theirs: Versions) -> bool {
+        let lists = (own.roster, own.fleet);
+        if self.lists_known != lists {
+            (self.lists_known, self.behind_since) = (lists, None);
+        }
+        if !own.is_older(FetchKind::Lists, theirs) {
+            return false;
+        }
+        now.since(*self.behind_since.get_or_insert(now)) >= STORE_WAIT
+    }
+
+    /// Records a call to this peer and returns true, unless none may be made now.
+    pub fn begin(&mut self, now: Timestamp, part: FetchKind, from: SocketAddr) -> bool {
+        let calls = self.calls(part);
+        calls.started.retain(|_, at| now.since(*at) <= PEER_INTERVAL);
+        if calls.in_progress || now < calls.backoff_until || calls.started.contains_key(&from) {
+            return false;
+        }
+        calls.started.insert(from, now);
+        calls.in_progress = true;
+        true
+    }
+
+    /// Records the end of a call; `got` when it returned something newer.
+    pub fn end(&mut self, now: Timestamp, part: FetchKind, got: bool) {
+        let calls = self.calls(part);
+        calls.in_progress = false;
+        if !got {
+            calls.backoff_until = now.after(BACKOFF);
+        }
+    }
+
+    fn calls(&mut self, part: FetchKind) -> &mut CallState {
+        match part {
+            FetchKind::Config => &mut self.config,
+            FetchKind::Lists => &mut self.lists,
+        }
+    }
+}
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,41 +1,41 @@
-//! Decisions of the gateway: which backend server takes a request, when one is refused, what may be
-//! sent again.
+//! Routing decisions of the gateway: which backend server takes a request, when a request is
+//! refused, and what may be retried.
 //!
-//! Nothing here opens a socket, reads a clock or draws from global randomness. Each module answers
-//! one question; the daemon asks it with the present moment and acts on the answer.
+//! Nothing here opens a socket, reads a clock or uses global randomness. Each module makes one kind
+//! of decision; the daemon passes in the current time and carries out the result.
 
 pub mod accounts;
+pub mod admission_queue;
+pub mod answer_length;
+pub mod back_offs;
 pub mod budget;
+pub mod caller_deadlines;
 pub mod catalog;
-pub mod comeback;
-pub mod content;
-pub mod delegate;
-pub mod drift;
+pub mod divergence;
 pub mod engines;
 pub mod events;
+pub mod fetches;
 pub mod fleet;
 pub mod forecast;
-pub mod freshness;
-pub mod growth;
-pub mod holder;
+pub mod leadership;
 pub mod learned;
 pub mod limits;
-pub mod line;
-pub mod losses;
+pub mod load_report;
+pub mod lost_attempts;
 pub mod node;
 pub mod outcome;
-pub mod pack;
-pub mod patience;
-pub mod pauses;
-pub mod plain;
+pub mod plain_servers;
 pub mod prefill;
-pub mod pulls;
+pub mod prefill_speed;
 pub mod quarantine;
 pub mod quota;
-pub mod reading;
-pub mod recency;
-pub mod roster;
+pub mod registry;
+pub mod request_digest;
+pub mod retry_after;
 pub mod routes;
-pub mod share;
 pub mod stages;
+pub mod staleness;
+pub mod store_state;
+pub mod varint;
+pub mod zone_leader;
 pub mod zones;
--- /dev/null
+++ b/crates/router/src/load_report.rs
@@ -0,0 +1,310 @@
+//! Load reports that gateways send each other several times a second, with their load at each model
+//! engine.
+//!
+//! Engines report their own load almost a second late, long enough for a burst to fill their
+//! memory. The load that the gateways themselves admitted is known within one round of datagrams.
+
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::time::Duration;
+
+use ebonyloft_core::time::Timestamp;
+use serde::{Deserialize, Serialize};
+use serde_with::serde_as;
+
+use crate::catalog::ServerId;
+use crate::fleet::Fleet;
+use crate::forecast::MemoryForecast;
+use crate::limits::LimitUpdate;
+use crate::quarantine::QuarantineUpdate;
+use crate::quota::ownership::{UnreachableGateways, gateway_number};
+use crate::quota::{LeaseRequest, LeaseResponse, LimitKey};
+use crate::varint;
+use crate::zone_leader::{LEADER_TIMEOUT, StoreLink};
+use crate::zones::ZoneSummary;
+
+/// Interval between two load reports to each peer while there is load: a tenth of the delay of the
+/// engines' own reports.
+pub const REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// Peers up to which this interval applies, so that reading their reports stays a small part of a
+/// weak VM's work.
+pub const INTERVAL_PEERS: usize = 32;
+/// The interval is added once more for each so many peers beyond: each of 410 gateways then sends
+/// fewer datagrams a second than each of 33.
+pub const INTERVAL_PEERS_STEP: usize = 16;
+/// Time after which the load of a peer without a newer report is dropped; ten rounds at the usual
+/// interval.
+pub const LOAD_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Time without a message after which a peer no longer counts as live.
+pub const PEER_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// Number of rounds for which a report is kept at least when rounds are long: one datagram in a
+/// hundred is lost.
+const LOAD_ROUNDS: u32 = 4;
+
+/// Returns the interval between two rounds with so many peers.
+pub fn pause(peers: usize) -> Duration {
+    let more = peers.saturating_sub(INTERVAL_PEERS);
+    REPORT_INTERVAL + REPORT_INTERVAL.mul_f64(more as f64 / INTERVAL_PEERS_STEP as f64)
+}
+
+/// Load at one engine, encoded in few bytes because traffic between availability zones is
+/// expensive.
+#[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
+#[serde(try_from = "EncodedLoad", into = "EncodedLoad")]
+pub struct EngineLoad {
+    /// Forecast of the memory reserved and in use.
+    pub memory: MemoryForecast,
+    /// Requests.
+    pub count: u32,
+    /// Prompt tokens sent for prefill and not processed yet.
+    pub unread: u64,
+    /// Prompts sent for prefill and not processed yet.
+    pub reads: u32,
+}
+
+#[serde_as]
+#[derive(Deserialize, Serialize)]
+#[serde(transparent)]
+struct EncodedLoad(#[serde_as(as = "serde_with::Bytes")] Vec<u8>);
+
+impl From<EngineLoad> for EncodedLoad {
+    fn from(w: EngineLoad) -> Self {
+        let mut out = Vec::with_capacity(ENCODED_USUAL);
+        varint::write_unsigned(&mut out, w.count.into());
+        varint::write_unsigned(&mut out, w.unread);
+        varint::write_unsigned(&mut out, w.reads.into());
+        w.memory.encode(&mut out);
+        EncodedLoad(out)
+    }
+}
+
+impl TryFrom<EncodedLoad> for EngineLoad {
+    type Error = &'static str;
+
+    fn try_from(EncodedLoad(bytes): EncodedLoad) -> Result<Self, Self::Error> {
+        EngineLoad::decode(&mut &bytes[..]).ok_or("truncated engine load")
+    }
+}
+
+impl EngineLoad {
+    fn decode(bytes: &mut &[u8]) -> Option<EngineLoad> {
+        let count = varint::read_unsigned(bytes)?.try_into().ok()?;
+        let unread = varint::read_unsigned(bytes)?;
+        let reads = varint::read_unsigned(bytes)?.try_into().ok()?;
+        Some(EngineLoad { memory: MemoryForecast::decode(bytes)?, count, unread, reads })
+    }
+
+    /// Returns the sum of both loads.
+    pub fn plus(self, other: EngineLoad) -> EngineLoad {
+        EngineLoad {
+            memory: self.memory.plus(other.memory),
+            count: self.count + other.count,
+            unread: self.unread + other.unread,
+            reads: self.reads + other.reads,
+        }
+    }
+}
+
+/// Usual encoded size of the load at one engine, in bytes.
+const ENCODED_USUAL: usize = 24;
+
+/// Load report of one gateway.
+#[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
+pub struct LoadReport {
+    /// Name of the sender's VM.
+    #[serde(rename = "n")]
+    pub name: String,
+    /// Start time of the sender's process in microseconds; a later incarnation has a larger one.
+    #[serde(rename = "l")]
+    pub life: u64,
+    /// Sequence number within this incarnation.
+    #[serde(rename = "s")]
+    pub seq: u64,
+    /// Version of the sender's configuration.
+    #[serde(rename = "c")]
+    pub config: u64,
+    /// Revision up to which the sender knows the list of backend servers.
+    #[serde(rename = "r")]
+    pub roster: u64,
+    /// Revision up to which the sender knows the registered gateways.
+    #[serde(rename = "g")]
+    pub fleet: u64,
+    /// How the sender learns of changes in the store.
+    #[serde(rename = "k")]
+    pub link: StoreLink,
+    /// Requests waiting for admission at the sender.
+    #[serde(rename = "q")]
+    pub waiting: u32,
+    /// Engines that the sender ordered to change their stage and that have not done so yet.
+    #[serde(rename = "o")]
+    pub changing: Vec<ServerId>,
+    /// Load of the sender, by short hash of the engine's id.
+    #[serde(rename = "w")]
+    pub work: BTreeMap<u32, EngineLoad>,
+    /// Checksum of the sender's gossip state.
+    #[serde(rename = "t", default, skip_serializing_if = "is_zero")]
+    pub notes: u64,
+    /// Hashes of the gateways that the sender can't reach.
+    #[serde(rename = "m", default, skip_serializing_if = "BTreeSet::is_empty")]
+    pub missing: UnreachableGateways,
+    /// Summaries of other availability zones that a zone leader relays.
+    #[serde(rename = "d", default, skip_serializing_if = "Vec::is_empty")]
+    pub digests: Vec<ZoneSummary>,
+}
+
+/// Gossip state: what gateways know besides the store and exchange with each other.
+#[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
+pub struct GossipState {
+    /// Observations of requests that crash backend servers.
+    #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
+    pub words: Vec<QuarantineUpdate>,
+    /// Incarnations of backend servers that announced that they are leaving.
+    #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
+    pub leaving: Vec<ServerId>,
+    /// Rate limits that backend servers announced.
+    #[serde(rename = "r", default, skip_serializing_if = "Vec::is_empty")]
+    pub limits: Vec<LimitUpdate>,
+}
+
+impl GossipState {
+    /// Is the gossip state empty?
+    pub fn is_empty(&self) -> bool {
+        self.words.is_empty() && self.leaving.is_empty() && self.limits.is_empty()
+    }
+}
+
+/// Zero checksums are not sent: most gateways have no gossip state most of the time.
+pub(crate) fn is_zero(sum: &u64) -> bool {
+    *sum == 0
+}
+
+/// A datagram between gateways.
+#[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
+pub enum GossipMessage {
+    /// Gossip state, sent to all gateways at once.
+    Notes(GossipState),
+    /// Load report, sent to the gateways that share engines.
+    Share(LoadReport),
+    /// Zone summary, sent to another availability zone.
+    Digest(ZoneSummary),
+    /// Request for tokens, sent to the owner of a rate limit or quota.
+    Ask(LeaseRequest),
+    /// Reply of the owner.
+    Answer(LeaseResponse),
+    /// Returns unused tokens to the owner.
+    Unused(LimitKey, u64),
+    /// Queries the age of the configuration; carries the number of the query.
+    Age(u64),
+    /// Reply: the number of the query, the version in force, and the milliseconds since it was
+    /// known to be the newest.
+    Held(u64, u64, u64),
+}
+
+#[derive(Clone, Debug)]
+struct Peer {
+    received_at: Timestamp,
+    share: LoadReport,
+}
+
+/// The latest load report of each peer.
+#[derive(Clone, Debug, Default)]
+pub struct LoadReports {
+    peers: HashMap<String, Peer>,
+}
+
+impl LoadReports {
+    /// Stores a load report; false when it is older than the one known.
+    pub fn hear(&mut self, now: Timestamp, share: LoadReport) -> bool {
+        if let Some(peer) = self.peers.get(&share.name)
+            && (peer.share.life, peer.share.seq) >= (share.life, share.seq)
+        {
+            return false;
+        }
+        self.peers.insert(share.name.clone(), Peer { received_at: now, share });
+        true
+    }
+
+    /// Returns the load of all peers at one engine.
+    pub fn work(&self, now: Timestamp, id: &ServerId) -> EngineLoad {
+        let timeout = LOAD_TIMEOUT.max(pause(self.peers.len()) * LOAD_ROUNDS);
+        let number = id.short_hash();
+        self.peers
+            .values()
+            .filter(|p| now.since(p.received_at) < timeout)
+            .filter_map(|p| p.share.work.get(&number))
+            .fold(EngineLoad::default(), |sum, w| sum.plus(*w))
+    }
+
+    /// Returns the number of live peers.
+    pub fn live(&self, now: Timestamp) -> usize {
+        let timeout = PEER_TIMEOUT.max(pause(self.peers.len()) * 2 * LOAD_ROUNDS);
+        self.peers.values().filter(|p| now.since(p.received_at) < timeout).count()
+    }
+
+    /// Returns how a peer learns of changes in the store; `None` when it is silent.
+    pub fn link(&self, now: Timestamp, name: &str) -> Option<StoreLink> {
+        let peer = self.peers.get(name)?;
+        (now.since(peer.received_at) < LEADER_TIMEOUT).then_some(peer.share.link)
+    }
+
+    /// Returns the gateways from which this one, named `own`, receives nothing.
+    pub fn unreachable(&self, now: Timestamp, fleet: &Fleet, own: &str) -> UnreachableGateways {
+        let others = fleet.all().keys().filter(|name| *name != own);
+        others
+            .filter(|name| self.recent_report(now, name).is_none())
+            .map(|n| gateway_number(n))
+            .collect()
+    }
+
+    /// Returns the gateways that another gateway reports as unreachable; `None` when it is silent.
+    pub fn missed_by(&self, now: Timestamp, name: &str) -> Option<&UnreachableGateways> {
+        self.recent_report(now, name).map(|share| &share.missing)
+    }
+
+    fn recent_report(&self, now: Timestamp, name: &str) -> Option<&LoadReport> {
+        let peer = self.peers.get(name)?;
+        (now.since(peer.received_at) < LEADER_TIMEOUT).then_some(&peer.share)
+    }
+
+    /// Returns the best connection to the store that any peer reports.
+    pub fn best_link(&self, now: Timestamp) -> StoreLink {
+        let rank = |link: &StoreLink| match link {
+            StoreLink::Heard { settles, .. } => (0, *settles),
+            StoreLink::Away => (1, 0),
+            StoreLink::Indirect => (2, 0),
+        };
+        let recent = self.peers.values().filter(|p| now.since(p.received_at) < LEADER_TIMEOUT);
+        recent.map(|p| p.share.link).min_by_key(rank).unwrap_or_default()
+    }
+
+    /// Returns the time as of which a list of backend servers of this revision is known to be
+    /// complete, by the reports of peers that follow the store and know nothing newer; `None` when
+    /// there is no such report.
+    pub fn known_at(&self, now: Timestamp, roster: u64) -> Option<Timestamp> {
+        let recent = self.peers.values().filter(|p| now.since(p.received_at) < LEADER_TIMEOUT);
+        let not_newer = recent.filter(|p| p.share.roster <= roster);
+        let at = not_newer.filter_map(|p| match p.share.link {
+            StoreLink::Heard { age, .. } => {
+                Some(p.received_at.before(Duration::from_millis(age.into())))
+            }
+            StoreLink::Away | StoreLink::Indirect => None,
+        });
+        at.max()
+    }
+
+    /// Drops peers that have been silent for long.
+    pub fn expire(&mut self, now: Timestamp) {
+        self.peers.retain(|_, p| now.since(p.received_at) < PEER_TIMEOUT * 10);
+    }
+}
+
+/// Engines compared per decision, times the number of gateways. If many gateways with the same
+/// delayed reports compared all engines, they would all choose the one with the shortest queue.
+pub const COMPARISONS: usize = 4;
+/// Fewest engines compared: the better of two random choices spreads load well even with delayed
+/// reports.
+pub const COMPARED_MIN: usize = 2;
+
+/// Returns how many of `engines` one of `entries` gateways compares.
+pub fn sample_size(engines: usize, entries: usize) -> usize {
+    (engines * COMPARISONS).div_ceil(entries.max(1)).clamp(COMPARED_MIN, engines.max(COMPARED_MIN))
+}
