--- /dev/null
+++ b/crates/router/src/registry.rs
@@ -0,0 +1,343 @@
+//! Registry of the backend servers that this gateway uses.
+//!
+//! Registrations come from the store with revisions, and a lower revision never replaces a higher
+//! one. A registration that vanishes while the store is not trusted is kept until it is.
+//!
+//! A backend server also announces in its answers that it is leaving. This counts for the
+//! incarnation that announced it, whatever a store that is unreachable or behind says, and ends
+//! with that incarnation.
+
+use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
+
+use ebonyloft_core::time::Timestamp;
+use serde::{Deserialize, Serialize};
+
+use crate::catalog::{Server, ServerId};
+
+/// Content of a registration.
+#[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
+pub enum Registration {
+    /// A backend server.
+    Server(Server),
+    /// An invalid entry: damaged, or written by another program.
+    Wrong,
+    /// The registration was removed.
+    Removed,
+}
+
+/// One change of the registry.
+#[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
+pub struct Change {
+    /// Name of the registration.
+    pub name: String,
+    /// Its new content.
+    pub entry: Registration,
+    /// Revision of the change.
+    pub revision: u64,
+}
+
+#[derive(Clone, Debug)]
+struct Registered {
+    server: Server,
+    revision: u64,
+    /// The registration vanished while the store was not trusted.
+    unconfirmed: bool,
+}
+
+/// Effect of a change on the registry.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub enum Effect {
+    /// A new backend server.
+    Joined,
+    /// It announced that it is leaving.
+    Leaving,
+    /// A new incarnation of a known backend server, which has none of the state of the previous
+    /// one.
+    Reborn,
+    /// Its registration is no longer valid.
+    Wrong,
+    /// Its registration is gone, and so is the backend server.
+    Gone,
+    /// Its registration is gone, but the store is not trusted yet.
+    Unheard,
+    /// Some other property changed.
+    Changed,
+    /// No change.
+    Stale,
+}
+
+/// All known backend servers.
+#[derive(Clone, Debug, Default)]
+pub struct ServerRegistry {
+    /// By name.
+    known: BTreeMap<String, Registered>,
+    /// Revisions of removals, so that an older registration does not come back.
+    removed: HashMap<String, u64>,
+    /// Removals up to this revision may have been dropped.
+    dropped_revision: u64,
+    /// Incarnations that announced themselves that they are leaving.
+    leaving: BTreeSet<ServerId>,
+    revision: u64,
+    complete: bool,
+    changed_at: Timestamp,
+}
+
+/// Highest number of removals remembered: ids are never reused, and a delayed registration arrives
+/// within seconds.
+const REMOVED_MAX: usize = 4_096;
+/// Number of leaving announcements after which those of unregistered incarnations are dropped.
+const LEAVING_MAX: usize = 4_096;
+
+impl ServerRegistry {
+    /// Applies one change; `settled` when a removal means that the backend server is gone.
+    pub fn apply(&mut self, change: Change, settled: bool) -> Effect {
+        self.revision = self.revision.max(change.revision);
+        self.apply_change(change, settled)
+    }
+
+    fn apply_change(&mut self, change: Change, settled: bool) -> Effect {
+        if self.removed.get(&change.name).is_some_and(|r| *r >= change.revision) {
+            return Effect::Stale;
+        }
+        match change.entry {
+            Registration::Server(server) => self.register(change.name, server, change.revision),
+            Registration::Wrong => self.exclude(&change.name, change.revision),
+            Registration::Removed => self.remove(&change.name, change.revision, settled),
+        }
+    }
+
+    /// Applies a complete list as of `revision`; a backend server that is not in it was removed.
+    pub fn replace(
+        &mut self,
+        list: Vec<Change>,
+        revision: u64,
+        settled: bool,
+    ) -> Vec<(String, Effect)> {
+        let mut effects = Vec::new();
+        let named: HashSet<&str> = list.iter().map(|c| c.name.as_str()).collect();
+        let missing: Vec<String> = self
+            .known
+            .iter()
+            .filter(|(name, k)| k.revision <= revision && !named.contains(name.as_str()))
+            .map(|(name, _)| name.clone())
+            .collect();
+        for change in list {
+            let name = change.name.clone();
+            // Entries may be newer than the list's revision; the changes in between are still to
+            // come.
+            effects.push((name, self.apply_change(change, settled)));
+        }
+        for name in missing {
+            let effect = self.remove(&name, revision, settled);
+            effects.push((name, effect));
+        }
+        self.complete = true;
+        self.revision = self.revision.max(revision);
+        effects.retain(|(_, e)| *e != Effect::Stale);
+        effects
+    }
+
+    /// Applies all changes between a known revision and `revision`, as fetched from another
+    /// gateway.
+    pub fn catch_up(
+        &mut self,
+        changes: Vec<Change>,
+        revision: u64,
+        settled: bool,
+    ) -> Vec<(String, Effect)> {
+        let mut effects = Vec::new();
+        for change in changes {
+            let name = change.name.clone();
+            effects.push((name, self.apply_change(change, settled)));
+        }
+        self.revision = self.revision.max(revision);
+        effects.retain(|(_, e)| *e != Effect::Stale);
+        effects
+    }
+
+    /// Removes the backend servers whose registration is still missing now that the store is
+    /// trusted.
+    pub fn remove_missing(&mut self) -> Vec<String> {
+        let gone: Vec<String> = self
+            .known
+            .iter()
+            .filter(|(_, k)| k.unconfirmed)
+            .map(|(name, _)| name.clone())
+            .collect();
+        for name in &gone {
+            let revision = self.known.remove(name).map_or(0, |k| k.revision);
+            self.remember_removal(name, revision);
+        }
+        gone
+    }
+
+    /// Removes a backend server because another incarnation answered at its address; false when it
+    /// was not known.
+    pub fn replaced(&mut self, id: &ServerId) -> bool {
+        if self.get(id).is_none() {
+            return false;
+        }
+        let revision = self.known.remove(&id.name).map_or(0, |k| k.revision);
+        self.remember_removal(&id.name, revision);
+        true
+    }
+
+    /// Records that an incarnation announced that it is leaving; true when this was not known.
+    pub fn on_leaving(&mut self, id: &ServerId) -> bool {
+        if self.removed.contains_key(&id.name) || self.get(id).is_some_and(|s| s.draining) {
+            return false;
+        }
+        if self.leaving.len() >= LEAVING_MAX {
+            let known = &self.known;
+            self.leaving.retain(|id| known.get(&id.name).is_some_and(|k| k.server.id == *id));
+        }
+        self.leaving.insert(id.clone())
+    }
+
+    /// Returns the incarnations that announced that they are leaving but are still registered as
+    /// ready: peers may not know this from the store.
+    pub fn announced_leaving(&self) -> impl Iterator<Item = &ServerId> {
+        self.leaving.iter().filter(|id| self.get(id).is_some_and(|s| !s.draining))
+    }
+
+    /// Was a complete list ever applied?
+    pub fn is_complete(&self) -> bool {
+        self.complete
+    }
+
+    /// Records that a backend server joined or left now.
+    pub fn note_change(&mut self, now: Timestamp) {
+        self.changed_at = now;
+    }
+
+    /// Returns when a backend server last joined or left.
+    pub fn changed_at(&self) -> Timestamp {
+        self.changed_at
+    }
+
+    /// Returns the highest revision seen.
+    pub fn revision(&self) -> u64 {
+        self.revision
+    }
+
+    /// Returns the backend servers of a service that may be sent requests.
+    pub fn ready<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Server> {
+        let usable = move |s: &&Server| !s.draining && !self.leaving.contains(&s.id);
+        self.known.values().map(|k| &k.server).filter(move |s| s.service == service).filter(usable)
+    }
+
+    /// Returns the backend server of this incarnation, if it is registered.
+    pub fn get(&self, id: &ServerId) -> Option<&Server> {
+        self.named(&id.name).filter(|s| s.id == *id)
+    }
+
+    /// Has the backend server of this name announced that it is leaving, or is it gone? False for a
+    /// name that was never seen.
+    pub fn has_left(&self, name: &str) -> bool {
+        match self.named(name) {
+            Some(server) => server.draining || self.leaving.contains(&server.id),
+            None => {
+                self.removed.contains_key(name) || self.leaving.iter().any(|id| id.name == name)
+            }
+        }
+    }
+
+    /// Returns the backend server that is registered under this name.
+    pub fn named(&self, name: &str) -> Option<&Server> {
+        self.known.get(name).map(|k| &k.server)
+    }
+
+    /// Returns the changes after a revision, for another gateway; `None` when removals since then
+    /// may have been dropped.
+    pub fn since(&self, after: u64) -> Option<Vec<Change>> {
+        if after < self.dropped_revision || after == 0 {
+            return None;
+        }
+        let removed = self.removed.iter().filter(|(_, revision)| **revision > after);
+        let removed = removed.map(|(name, revision)| Change {
+            name: name.clone(),
+            entry: Registration::Removed,
+            revision: *revision,
+        });
+        let known = self.known.iter().filter(|(_, k)| k.revision > after);
+        Some(known.map(to_change).chain(removed).collect())
+    }
+
+    /// Returns all registrations, for another gateway.
+    pub fn changes(&self) -> Vec<Change> {
+        self.known.iter().map(to_change).collect()
+    }
+
+    /// Returns the number of known backend servers.
+    pub fn len(&self) -> usize {
+        self.known.len()
+    }
+
+    /// Is no backend server known?
+    pub fn is_empty(&self) -> bool {
+        self.known.is_empty()
+    }
+
+    fn register(&mut self, name: String, server: Server, revision: u64) -> Effect {
+        let effect = match self.known.get(&name) {
+            Some(k) if k.revision > revision => return Effect::Stale,
+            Some(k) if k.server == server && !k.unconfirmed => Effect::Stale,
+            Some(k) if server.id != k.server.id && !server.draining => Effect::Reborn,
+            Some(k) if server.draining && !k.server.draining => Effect::Leaving,
+            Some(_) => Effect::Changed,
+            None if server.draining => Effect::Leaving,
+            None => Effect::Joined,
+        };
+        self.removed.remove(&name);
+        // Drops only what other incarnations of this name announced.
+        self.leaving.retain(|id| id.name != name || *id == server.id);
+        self.known.insert(name, Registered { server, revision, unconfirmed: false });
+        effect
+    }
+
+    /// An invalid entry is excluded even while the store is not trusted, because it is new
+    /// information.
+    fn exclude(&mut self, name: &str, revision: u64) -> Effect {
+        match self.remove(name, revision, true) {
+            Effect::Gone => Effect::Wrong,
+            other => other,
+        }
+    }
+
+    fn remove(&mut self, name: &str, revision: u64, settled: bool) -> Effect {
+        let Some(known) = self.known.get_mut(name) else {
+            self.remember_removal(name, revision);
+            return Effect::Stale;
+        };
+        if known.revision > revision {
+            return Effect::Stale;
+        }
+        known.revision = revision;
+        if !settled && !known.server.draining {
+            known.unconfirmed = true;
+            return Effect::Unheard;
+        }
+        self.known.remove(name);
+        self.remember_removal(name, revision);
+        Effect::Gone
+    }
+
+    fn remember_removal(&mut self, name: &str, revision: u64) {
+        if self.removed.len() >= REMOVED_MAX {
+            self.removed.clear();
+            self.dropped_revision = self.revision;
+        }
+        self.leaving.retain(|id| id.name != name);
+        self.removed.insert(name.to_owned(), revision);
+    }
+}
+
+/// Encodes a backend server for another gateway. One whose registration vanished while the store
+/// was not trusted is passed on as removed, so that the other gateway decides for itself.
+fn to_change((name, known): (&String, &Registered)) -> Change {
+    let entry = match known.unconfirmed {
+        true => Registration::Removed,
+        false => Registration::Server(known.server.clone()),
+    };
+    Change { name: name.clone(), entry, revision: known.revision }
+}
--- /dev/null
+++ b/crates/router/src/zone_leader.rs
@@ -0,0 +1,99 @@
+//! Decides which gateways follow the store; the others get its changes from those.
+//!
+//! Each gateway that follows the store costs it one to three calls a second for the same changes,
+//! too much for a fleet of hundreds. So only two gateways per availability zone follow it, the zone
+//! leaders; they announce changes to the others, which fetch them there. There is no election: a
+//! gateway follows the store unless two higher-ranked gateways of its zone report that they reach
+//! it. So a zone whose leaders crash, hang or lose the store gets new ones as soon as this is
+//! noticed, and a gateway that hears from no leader follows the store itself.
+
+use std::time::Duration;
+
+use ebonyloft_core::time::Timestamp;
+use serde::{Deserialize, Serialize};
+
+/// Zone leaders per availability zone. With two, changes still arrive when one leader is lost or
+/// cut off from the store without having noticed yet.
+pub const LEADERS_PER_ZONE: usize = 2;
+/// Time without a message after which a zone leader no longer counts. A leader sends three messages
+/// in this time, and the shortest bound for a change to take effect is twice as long.
+pub const LEADER_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// How long a gateway keeps following the store after two higher-ranked leaders are back. Leaders
+/// that come and go then cost a few calls rather than a full list each time.
+pub const STEP_DOWN_DELAY: Duration = Duration::from_millis(1_500);
+
+/// How much longer each gateway waits than the next higher-ranked one before it replaces a missing
+/// leader. A new leader is known to the others within two steps, so a zone does not list the store
+/// all at once.
+pub const TAKEOVER_STEP: Duration = Duration::from_millis(100);
+/// Highest number of steps: when a zone loses all its leaders, its lowest-ranked gateway follows
+/// the store after one second.
+pub const TAKEOVER_STEPS_MAX: u32 = 10;
+
+/// How a gateway learns of changes in the store.
+#[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
+pub enum StoreLink {
+    /// Through zone leaders.
+    #[default]
+    Indirect,
+    /// It follows the store and reaches it.
+    Heard {
+        /// Milliseconds until a missing registration means that the backend server is gone.
+        settles: u32,
+        /// Milliseconds since its list of backend servers was last known to be complete.
+        #[serde(default)]
+        age: u32,
+    },
+    /// It follows the store but can't reach it.
+    Away,
+}
+
+/// Whether one gateway follows the store as a zone leader.
+#[derive(Clone, Copy, Debug)]
+pub struct LeaderState {
+    follows: bool,
+    /// No higher-ranked gateway reaches the store.
+    is_primary: bool,
+    /// While following: the last time at which fewer than two higher-ranked leaders reached the
+    /// store.
+    last_needed: Timestamp,
+    /// While not following: since when fewer than two higher-ranked leaders reach the store.
+    missed_since: Option<Timestamp>,
+}
+
+impl LeaderState {
+    /// Starts by following the store, because no leader is known yet.
+    pub fn new(now: Timestamp) -> Self {
+        LeaderState { follows: true, is_primary: true, last_needed: now, missed_since: None }
+    }
+
+    /// Decides again whether to follow the store: of `higher_ranked` gateways, `connected` report
+    /// that they reach it.
+    pub fn update(&mut self, now: Timestamp, higher_ranked: usize, connected: usize) {
+        self.is_primary = self.follows && connected == 0;
+        if connected >= LEADERS_PER_ZONE {
+            self.missed_since = None;
+            self.follows &= now.since(self.last_needed) <= STEP_DOWN_DELAY;
+            return;
+        }
+        let since = *self.missed_since.get_or_insert(now);
+        let steps =
+            (higher_ranked + 1).saturating_sub(LEADERS_PER_ZONE).min(TAKEOVER_STEPS_MAX as usize);
+        if self.follows || now.since(since) >= TAKEOVER_STEP * steps as u32 {
+            self.follows = true;
+            self.is_primary = connected == 0;
+            self.last_needed = now;
+        }
+    }
+
+    /// Is this the zone's primary leader? The other leaders follow the store in case the primary is
+    /// cut off without noticing.
+    pub fn leads(&self) -> bool {
+        self.is_primary
+    }
+
+    /// Does this gateway follow the store?
+    pub fn follows(&self) -> bool {
+        self.follows
+    }
+}
--- a/crates/standins/src/fleet/peer.rs
+++ b/crates/standins/src/fleet/peer.rs
@@ -7,11 +7,11 @@
 
 use compio::net::{TcpListener, UdpSocket};
 use ebonyloft_router::catalog::Config;
-use ebonyloft_router::delegate::Link;
-use ebonyloft_router::pulls::Versions;
-use ebonyloft_router::roster::{Change, Entry};
-use ebonyloft_router::share::{News, Share};
-use ebonyloftd::gateway::belief::{Belief, Servers};
+use ebonyloft_router::fetches::Versions;
+use ebonyloft_router::load_report::{GossipMessage, LoadReport};
+use ebonyloft_router::registry::{Change, Registration};
+use ebonyloft_router::zone_leader::StoreLink;
+use ebonyloftd::gateway::state_sync::{RegistryUpdate, StateUpdate};
 use ebonyloftd::http::{self, Body};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
@@ -69,7 +69,7 @@
     }
 
     /// It hears that a backend server's registration changed, as of a revision.
-    pub fn hear_change(&self, name: &str, entry: Entry, revision: u64) {
+    pub fn hear_change(&self, name: &str, entry: Registration, revision: u64) {
         let mut known = self.known.borrow_mut();
         known.versions.roster = revision;
         known.changes.push(Change { name: name.to_owned(), entry, revision });
@@ -88,11 +88,13 @@
         for seq in 1.. {
             let Known { versions, settles, .. } = *self.known.borrow();
             let Versions { config, roster, fleet } = versions;
-            let link = Link::Heard { settles, age: 0 };
+            let link = StoreLink::Heard { settles, age: 0 };
             let name = self.name.clone();
-            let share = Share { name, seq, config, roster, fleet, link, ..Share::default() };
+            let share =
+                LoadReport { name, seq, config, roster, fleet, link, ..LoadReport::default() };
             let mut bytes = Vec::new();
-            ciborium::into_writer(&News::Share(share), &mut bytes).expect("a share is encoded");
+            ciborium::into_writer(&GossipMessage::Share(share), &mut bytes)
+                .expect("a share is encoded");
             let _ = socket.send_to(bytes, to).await;
             compio::time::sleep(TELL).await;
         }
@@ -102,11 +104,11 @@
         let parts = req.uri().query().unwrap_or_default().split('.');
         let asked: Vec<u64> = parts.filter_map(|part| part.parse().ok()).collect();
         let [config, roster, _] = asked[..] else {
-            return http::response(StatusCode::NOT_FOUND, "text/plain", http::full(""));
+            return http::response(StatusCode::NOT_FOUND, "text/plain", http::full_body(""));
         };
         let known = self.known.borrow();
-        let news = || Servers::Changes(known.changes.clone());
-        let belief = Belief {
+        let news = || RegistryUpdate::Changes(known.changes.clone());
+        let belief = StateUpdate {
             versions: known.versions,
             config: known.config.clone().filter(|c| c.version > config),
             roster: (known.versions.roster > roster).then(news),
