--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -1,10 +1,10 @@
-//! A deployment on the platform, in one process: the store, backend servers, gateways and callers.
+//! A deployment on the platform in one process: the store, backend servers, gateways and callers.
 //!
-//! Each has an address of its own on the loopback network, so that ports are the same on all of
-//! them, as on the platform. All tasks run on one thread; what went on is read from the stand-ins.
+//! Each has its own loopback address, so that all of them use the same ports, as on the platform. All
+//! tasks run on one thread. Tests read what happened from the stand-ins.
 
 pub mod caller;
-mod life;
+mod listener;
 pub mod peer;
 pub mod runner;
 mod slow;
@@ -29,48 +29,48 @@
 use self::runner::{Runner, RunnerSpec};
 use self::store::Store;
 
-/// Host of all routes.
+/// Host name of all routes.
 pub const HOST: &str = "desk.example";
-/// Name of the service of model engines.
+/// Service of the model engines.
 pub const ENGINES: &str = "digest";
-/// Name of the plain service.
+/// The plain service.
 pub const PLAIN: &str = "gate";
-/// Path of summaries that may be resumed.
+/// Path of summaries that are resumable.
 pub const SUMMARY: &str = "/summary/a";
-/// Path of summaries that run once.
+/// Path of summaries that run at most once.
 pub const ONCE_SUMMARY: &str = "/summary-once/a";
-/// Path of checks that run once.
+/// Path of checks that run at most once.
 pub const CHECK: &str = "/check/a";
-/// Path of look-ups that may run again.
+/// Path of look-ups, which are idempotent.
 pub const LOOKUP: &str = "/lookup/a";
 
-/// Zone of what is started without one.
+/// Zone of processes that are started without one.
 const ZONE: &str = "a";
 const CALLERS_PORT: u16 = 8_144;
 const READY_PORT: u16 = 8_140;
-/// Path of checks that need no key, where there are client accounts.
+/// Path prefix of checks that need no API key in a deployment with client accounts.
 pub const OPEN: &str = "/open/";
 const PEER_PORT: u16 = 7_660;
 const STORE_PORT: u16 = 8_142;
 const RUNNER_PORT: u16 = 8_147;
 const METRICS_PORT: u16 = 9_464;
 
-/// What a deployment has.
+/// Size and settings of a deployment.
 #[derive(Clone, Debug)]
 pub struct FleetSpec {
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// Engines that read prompts.
+    /// Number of prefill engines.
     pub readers: usize,
-    /// Engines that write answers.
+    /// Number of decode engines.
     pub writers: usize,
-    /// Plain backend servers.
+    /// Number of plain backend servers.
     pub plain: usize,
-    /// How engines and plain backend servers behave.
+    /// Capacity and timing of all backend servers.
     pub runner: RunnerSpec,
-    /// Client accounts; none where callers show no key.
+    /// Client accounts; without them callers need no API key.
     pub accounts: Option<Vec<ServedAccount>>,
-    /// Within which a key that was taken away must stop running work.
+    /// Time within which running work of a revoked API key must stop.
     pub revoke: Option<Duration>,
 }
 
@@ -91,7 +91,7 @@
 
 /// A running gateway.
 pub struct Gateway {
-    /// Its address.
+    /// Its IP address.
     pub ip: IpAddr,
     stop: Option<oneshot::Sender<()>>,
     done: oneshot::Receiver<()>,
@@ -101,16 +101,16 @@
 pub struct Fleet {
     /// The metadata store.
     pub store: Rc<Store>,
-    /// Backend servers: readers, writers, plain ones.
+    /// Backend servers: prefill engines, decode engines, then plain ones.
     pub runners: Vec<Rc<Runner>>,
-    /// Gateways.
+    /// Gateways in the order of their start.
     pub gateways: Vec<Gateway>,
-    next_ip: u8,
+    next_free_host: u8,
     net: [u8; 2],
     revoke: Option<Duration>,
 }
 
-/// Runs a test's body on a deployment.
+/// Starts a deployment and runs a test's body on it.
 pub fn with_fleet<F: AsyncFnOnce(&mut Fleet)>(spec: FleetSpec, body: F) {
     let runtime = compio::runtime::Runtime::new().expect("a runtime");
     runtime.block_on(async {
@@ -119,7 +119,7 @@
     });
 }
 
-/// Waits until something holds.
+/// Waits until `holds` returns true; returns false if `limit` passes first.
 pub async fn eventually(limit: Duration, mut holds: impl FnMut() -> bool) -> bool {
     let end = std::time::Instant::now() + limit;
     while !holds() {
@@ -132,7 +132,7 @@
 }
 
 impl Fleet {
-    /// Starts everything and waits until all gateways take callers.
+    /// Starts all processes and waits until all gateways are ready.
     pub async fn start(spec: &FleetSpec) -> Fleet {
         let mut fleet = Fleet::without_gateways(spec).await;
         for _ in 0..spec.gateways {
@@ -144,15 +144,21 @@
         fleet
     }
 
-    /// Starts the store and backend servers.
+    /// Starts the store and the backend servers only.
     pub async fn without_gateways(spec: &FleetSpec) -> Fleet {
-        // Tests run side by side as processes: each has a network of its own.
+        // Tests run in parallel processes; each process uses its own loopback network.
         let pid = std::process::id();
         let net = [1 + (pid >> 8 & 0x7f) as u8, (pid & 0xff) as u8];
         let store = Store::start(address(net, 1, STORE_PORT)).await;
         let revoke = spec.revoke;
-        let mut fleet =
-            Fleet { store, runners: Vec::new(), gateways: Vec::new(), next_ip: 2, net, revoke };
+        let mut fleet = Fleet {
+            store,
+            runners: Vec::new(),
+            gateways: Vec::new(),
+            next_free_host: 2,
+            net,
+            revoke,
+        };
         match &spec.accounts {
             Some(accounts) => fleet.set_accounts(1, accounts),
             None => fleet.configure(&config(1, spec)),
@@ -169,7 +175,7 @@
         fleet
     }
 
-    /// Starts and registers a backend server in the first zone.
+    /// Starts and registers a backend server in the default zone.
     pub async fn add_runner(&mut self, stage: Option<Stage>, spec: &RunnerSpec) -> Rc<Runner> {
         self.add_runner_in(ZONE, stage, spec).await
     }
@@ -181,7 +187,7 @@
         stage: Option<Stage>,
         spec: &RunnerSpec,
     ) -> Rc<Runner> {
-        let host = self.take_ip();
+        let host = self.next_host();
         let service = if stage.is_some() { ENGINES } else { PLAIN };
         let server = Server {
             id: ServerId::new(format!("i-{host}"), 0),
@@ -199,17 +205,17 @@
         runner
     }
 
-    /// Starts a gateway in the first zone; it may not take callers yet.
+    /// Starts a gateway in the default zone without waiting until it is ready.
     pub fn add_gateway(&mut self) {
         self.add_gateway_in(ZONE);
     }
 
-    /// Starts a gateway; it may not take callers yet.
+    /// Starts a gateway without waiting until it is ready.
     pub fn add_gateway_in(&mut self, zone: &str) {
-        let host = self.take_ip();
-        let node = self.node(host, zone);
-        let (stop, stopped) = oneshot::channel();
-        let (ended, done) = oneshot::channel();
+        let host = self.next_host();
+        let node = self.gateway_node(host, zone);
+        let (stop, stop_requested) = oneshot::channel();
+        let (finished, done) = oneshot::channel();
         let ip = node.ip;
         let options = Options {
             file: "/nowhere".into(),
@@ -218,47 +224,47 @@
         };
         compio::runtime::spawn(async move {
             let stop = async {
-                let _ = stopped.await;
+                let _ = stop_requested.await;
             };
             gateway::run(node, options, stop, std::future::pending()).await.expect("a gateway");
-            let _ = ended.send(());
+            let _ = finished.send(());
         })
         .detach();
         self.gateways.push(Gateway { ip, stop: Some(stop), done });
     }
 
-    /// Starts and registers a gateway that only tells what it knows, with so many thousandths of a core.
+    /// Starts and registers a [`Peer`] with `power` thousandths of a core.
     pub async fn add_peer(&mut self, power: u32) -> Rc<Peer> {
-        let host = self.take_ip();
+        let host = self.next_host();
         let name = format!("peer-{host}");
         let peer = Peer::start(&name, address(self.net, host, PEER_PORT)).await;
         self.store.put(&format!("ebonyloft/gateways/{name}"), &peer.registration(power), 0);
         peer
     }
 
-    /// Asks a gateway to stop, as a signal does.
+    /// Asks a gateway to stop, as SIGTERM does.
     pub fn stop(&mut self, gateway: usize) {
         if let Some(stop) = self.gateways[gateway].stop.take() {
             let _ = stop.send(());
         }
     }
 
-    /// Has a gateway ended by itself?
+    /// Returns whether a gateway has stopped.
     pub fn ended(&mut self, gateway: usize) -> bool {
         matches!(self.gateways[gateway].done.try_recv(), Ok(Some(())))
     }
 
-    /// A caller of one gateway, with connections of its own.
+    /// Returns a caller of one gateway, with its own connections.
     pub fn caller(&self, gateway: usize) -> Caller {
         Caller::new((self.gateways[gateway].ip, CALLERS_PORT).into())
     }
 
-    /// Puts a configuration in force.
+    /// Writes a configuration into the store.
     pub fn configure(&self, config: &Config) {
         self.store.put(CONFIG_KEY, &serve::config(config), 0);
     }
 
-    /// Puts a configuration of this version with these client accounts in force; `/open/` needs no key.
+    /// Writes a configuration with these client accounts; paths under `/open/` need no API key.
     pub fn set_accounts(&self, version: u64, accounts: &[ServedAccount]) {
         let mut config = config(version, &FleetSpec::default());
         let check = config.routes.iter().find(|r| r.name == "check").expect("a route").clone();
@@ -267,20 +273,20 @@
         self.store.put(CONFIG_KEY, &serve::keyed_config(&config, accounts), 0);
     }
 
-    /// The status of a gateway's readiness check.
+    /// Returns the status of a gateway's readiness check, 0 if the request fails.
     pub async fn readiness(&self, gateway: usize) -> u16 {
         let caller = Caller::new((self.gateways[gateway].ip, READY_PORT).into());
         caller.get("/readiness").await.map_or(0, |a| a.status)
     }
 
-    /// A gateway's metrics page.
+    /// Returns a gateway's metrics page.
     pub async fn metrics(&self, gateway: usize) -> String {
         let caller = Caller::new((self.gateways[gateway].ip, METRICS_PORT).into());
         let page = caller.get("/metrics").await.expect("a metrics page");
         String::from_utf8_lossy(&page.body).into_owned()
     }
 
-    /// Waits until a gateway takes callers.
+    /// Waits up to 10 s until a gateway is ready.
     pub async fn wait_ready(&self, gateway: usize) {
         for _ in 0..1_000 {
             if self.readiness(gateway).await == 200 {
@@ -288,38 +294,38 @@
             }
             compio::time::sleep(Duration::from_millis(10)).await;
         }
-        panic!("gateway {gateway} does not become ready");
+        panic!("gateway {gateway} did not become ready within 10 s");
     }
 
-    /// How often an attempt ran, at all backend servers together.
+    /// Returns how often an attempt ran, over all backend servers.
     pub fn runs(&self, attempt: &str) -> usize {
         self.runners.iter().map(|r| r.runs(attempt)).sum()
     }
 
-    /// Arrivals beyond the first of each attempt, at all backend servers together; the first prompt that is
-    /// read is none.
+    /// Returns the number of retries: arrivals beyond the first of each attempt, over all backend servers.
+    /// The first prompt computed for an attempt does not count.
     pub fn extra_arrivals(&self) -> usize {
-        let mut all: HashMap<String, usize> = HashMap::new();
-        let mut read: HashMap<String, usize> = HashMap::new();
+        let mut arrivals: HashMap<String, usize> = HashMap::new();
+        let mut computed: HashMap<String, usize> = HashMap::new();
         for runner in &self.runners {
             let seen = runner.seen.borrow();
-            for (attempt, count) in seen.arrivals.iter().chain(&seen.lost_prompts) {
-                *all.entry(attempt.clone()).or_default() += count;
+            for (attempt, count) in seen.arrivals.iter().chain(&seen.lost_prefills) {
+                *arrivals.entry(attempt.clone()).or_default() += count;
             }
             for (attempt, count) in &seen.prompts {
-                *read.entry(attempt.clone()).or_default() += count;
+                *computed.entry(attempt.clone()).or_default() += count;
             }
         }
-        let again: usize = read.values().map(|count| count.saturating_sub(1)).sum();
-        again + all.values().map(|count| count.saturating_sub(1)).sum::<usize>()
+        let repeated: usize = computed.values().map(|count| count.saturating_sub(1)).sum();
+        repeated + arrivals.values().map(|count| count.saturating_sub(1)).sum::<usize>()
     }
 
-    fn take_ip(&mut self) -> u8 {
-        self.next_ip += 1;
-        self.next_ip - 1
+    fn next_host(&mut self) -> u8 {
+        self.next_free_host += 1;
+        self.next_free_host - 1
     }
 
-    fn node(&self, host: u8, zone: &str) -> Node {
+    fn gateway_node(&self, host: u8, zone: &str) -> Node {
         let ip = address(self.net, host, 0).ip();
         Node {
             name: format!("front-{zone}-{host}"),
@@ -351,7 +357,7 @@
     (Ipv4Addr::new(127, net[0], net[1], host), port).into()
 }
 
-/// A configuration with so many routes more.
+/// Returns the configuration of a deployment with this many more routes.
 pub fn large_config(version: u64, routes: usize) -> Config {
     let mut config = config(version, &FleetSpec::default());
     let route = config.routes[0].clone();
@@ -362,7 +368,7 @@
     config
 }
 
-/// The configuration of a deployment: four kinds of request, two services.
+/// Returns the configuration of a deployment: four kinds of request, two services.
 pub fn config(version: u64, spec: &FleetSpec) -> Config {
     let stream = |name: &str, prefix: &str, attempts, resumable| Route {
         name: name.to_owned(),
@@ -377,7 +383,7 @@
         resumable,
         public: false,
     };
-    let call = |name: &str, prefix: &str, kind, attempts| Route {
+    let plain_call = |name: &str, prefix: &str, kind, attempts| Route {
         kind,
         timeout: Duration::from_secs(1),
         goal: Duration::from_millis(150),
@@ -397,8 +403,8 @@
         routes: vec![
             stream("summary", "/summary/", 2, true),
             stream("summary-once", "/summary-once/", 1, false),
-            call("check", "/check/", Kind::Once, 1),
-            call("lookup", "/lookup/", Kind::Idempotent, 2),
+            plain_call("check", "/check/", Kind::Once, 1),
+            plain_call("lookup", "/lookup/", Kind::Idempotent, 2),
         ],
         services: vec![
             Service { name: ENGINES.to_owned(), connections: 200, engine: Some(engine) },
--- a/crates/standins/src/fleet/caller.rs
+++ b/crates/standins/src/fleet/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of a gateway: sends, reads, and leaves.
+//! A caller of a gateway, which can also disconnect before the answer has ended.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,37 +13,37 @@
 
 use super::HOST;
 
-/// An answer as a caller sees it.
+/// The answer as the caller received it.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
     /// Headers.
     pub headers: HeaderMap,
-    /// What came of the body.
+    /// The part of the body that arrived.
     pub body: Vec<u8>,
-    /// The body came to its end.
+    /// The body arrived completely.
     pub whole: bool,
-    /// From the sending to the first byte of the body.
+    /// Time from sending to the first byte of the body.
     pub first: Duration,
-    /// From the sending to the end.
+    /// Time from sending to the end of the body or its break.
     pub took: Duration,
 }
 
 impl Answer {
-    /// A header as text.
+    /// Returns a header as text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|v| v.to_str().ok())
     }
 
-    /// Ids of the events in the body.
+    /// Returns the ids of the events in the body.
     pub fn events(&self) -> Vec<u64> {
         let text = String::from_utf8_lossy(&self.body);
         text.lines().filter_map(|l| l.strip_prefix("id: ")?.trim().parse().ok()).collect()
     }
 }
 
-/// A caller.
+/// A client of one gateway.
 pub struct Caller {
     addr: SocketAddr,
     pool: Pool,
@@ -52,25 +52,25 @@
 }
 
 impl Caller {
-    /// A caller of the gateway at `addr`.
+    /// Creates a caller of the gateway at `addr`.
     pub fn new(addr: SocketAddr) -> Self {
         let patience = Duration::from_secs(14);
         Caller { addr, pool: Pool::new(Clock::default()), patience, key: None }
     }
 
-    /// The same caller, who waits this long for summaries.
+    /// Sets the timeout that is sent with summaries.
     pub fn patience(mut self, patience: Duration) -> Self {
         self.patience = patience;
         self
     }
 
-    /// The same caller, who shows this key.
+    /// Sets the API key that is sent with requests.
     pub fn key(mut self, key: &str) -> Self {
         self.key = Some(key.to_owned());
         self
     }
 
-    /// A plain request.
+    /// Sends a GET request outside the configured routes.
     pub async fn get(&self, path: &str) -> Result<Answer, ExchangeError> {
         let mut req = Request::new(Bytes::new());
         *req.uri_mut() = path.parse().expect("a path");
@@ -79,7 +79,7 @@
         self.send(req).await
     }
 
-    /// A short call.
+    /// Sends a short call.
     pub async fn call(&self, path: &str, attempt: &str) -> Result<Answer, ExchangeError> {
         let body = Bytes::from_static(b"{\"badge\":114}");
         let patience = Duration::from_secs(1);
@@ -87,12 +87,12 @@
         self.send(serve::request(&Sent { host: HOST, path, attempt, patience, tokens, body })).await
     }
 
-    /// A summary.
+    /// Sends a request for a summary.
     pub async fn summary(&self, path: &str, attempt: &str) -> Result<Answer, ExchangeError> {
         self.send(self.summary_request(path, attempt)).await
     }
 
-    /// A request with this body, for a summary or a short call.
+    /// Sends a summary or a short call, depending on the path, with this body.
     pub async fn with_body(
         &self,
         path: &str,
@@ -106,14 +106,14 @@
         self.send(serve::request(&sent)).await
     }
 
-    /// The request of a summary.
+    /// Returns a request for a summary.
     pub fn summary_request(&self, path: &str, attempt: &str) -> Request<Bytes> {
         let body = Bytes::from(vec![b'x'; 3_000]);
         let (patience, tokens) = (self.patience, Some((3_000, 2_040)));
         serve::request(&Sent { host: HOST, path, attempt, patience, tokens, body })
     }
 
-    /// Sends a request and reads what comes of the answer.
+    /// Sends a request and reads the answer until it ends or breaks off.
     pub async fn send(&self, req: Request<Bytes>) -> Result<Answer, ExchangeError> {
         let sent = Instant::now();
         let (response, conn) = self.begin(req).await?;
@@ -147,7 +147,7 @@
         Ok(answer)
     }
 
-    /// Sends a request and gives the answer unread, with its connection; dropping both leaves.
+    /// Sends a request and returns the unread answer with its connection; dropping both disconnects.
     pub async fn begin(
         &self,
         req: Request<Bytes>,
--- a/crates/standins/src/fleet/peer.rs
+++ b/crates/standins/src/fleet/peer.rs
@@ -1,4 +1,5 @@
-//! A gateway that only tells others what it knows: it follows the store, and sends large answers slowly.
+//! A stand-in for another gateway: it sends gossip about itself and serves state that a test sets, with
+//! bodies limited to a slow link's rate.
 
 use std::cell::RefCell;
 use std::net::{IpAddr, SocketAddr};
@@ -18,33 +19,33 @@
 
 use super::slow;
 
-/// Pause between two datagrams.
-const TELL: Duration = Duration::from_millis(100);
-/// Bytes a second of an answer's body.
-const RATE: usize = 200;
+/// Interval between two datagrams.
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
+/// Bytes a second at which bodies of answers are sent.
+const BODY_RATE: usize = 200;
 
-/// What a peer knows.
+/// State that the peer announces and serves.
 #[derive(Default)]
-struct Known {
+struct State {
     versions: Versions,
     config: Option<Config>,
     changes: Vec<Change>,
-    /// Milliseconds until a missing registration means that the backend server is gone.
-    settles: u32,
+    /// Milliseconds until a missing registration counts as the backend server's removal.
+    settle_ms: u32,
 }
 
-/// A peer.
+/// A running peer.
 pub struct Peer {
     name: String,
     addr: SocketAddr,
-    known: RefCell<Known>,
+    state: RefCell<State>,
 }
 
 impl Peer {
-    /// Starts one that knows nothing.
+    /// Starts a peer with empty state.
     pub async fn start(name: &str, addr: SocketAddr) -> Rc<Peer> {
-        let known = RefCell::default();
-        let peer = Rc::new(Peer { name: name.to_owned(), addr, known });
+        let state = RefCell::default();
+        let peer = Rc::new(Peer { name: name.to_owned(), addr, state });
         let listener = TcpListener::bind(addr).await.expect("a free address");
         let me = peer.clone();
         let handler = move |req| {
@@ -56,66 +57,66 @@
         peer
     }
 
-    /// Its registration, with thousandths of a core: the strongest go first.
+    /// Returns its registration; `power` is in thousandths of a core.
     pub fn registration(&self, power: u32) -> Vec<u8> {
         format!("{{\"addr\":\"{}\",\"zone\":\"a\",\"power\":{power}}}", self.addr).into_bytes()
     }
 
-    /// It hears of a configuration.
+    /// Sets the configuration that it serves.
     pub fn hear_config(&self, config: &Config) {
-        let mut known = self.known.borrow_mut();
-        known.versions.config = config.version;
-        known.config = Some(config.clone());
+        let mut state = self.state.borrow_mut();
+        state.versions.config = config.version;
+        state.config = Some(config.clone());
     }
 
-    /// It hears that a backend server's registration changed, as of a revision.
+    /// Adds a change of a backend server's registration at this revision.
     pub fn hear_change(&self, name: &str, entry: Entry, revision: u64) {
-        let mut known = self.known.borrow_mut();
-        known.versions.roster = revision;
-        known.changes.push(Change { name: name.to_owned(), entry, revision });
+        let mut state = self.state.borrow_mut();
+        state.versions.roster = revision;
+        state.changes.push(Change { name: name.to_owned(), entry, revision });
     }
 
-    /// From now on a missing registration means after so many milliseconds that the backend server is
-    /// gone.
+    /// Sets the announced time until a missing registration counts as the backend server's removal, in
+    /// milliseconds.
     pub fn set_settles(&self, settles: u32) {
-        self.known.borrow_mut().settles = settles;
+        self.state.borrow_mut().settle_ms = settles;
     }
 
-    /// Tells a gateway of itself for as long as the program runs.
+    /// Sends gossip datagrams to a gateway until the process ends.
     pub async fn tell(self: Rc<Self>, to: IpAddr) {
         let socket = UdpSocket::bind(self.addr).await.expect("a free address");
         let to = SocketAddr::new(to, self.addr.port());
         for seq in 1.. {
-            let Known { versions, settles, .. } = *self.known.borrow();
+            let State { versions, settle_ms, .. } = *self.state.borrow();
             let Versions { config, roster, fleet } = versions;
-            let link = Link::Heard { settles, age: 0 };
+            let link = Link::Heard { settles: settle_ms, age: 0 };
             let name = self.name.clone();
             let share = Share { name, seq, config, roster, fleet, link, ..Share::default() };
             let mut bytes = Vec::new();
-            ciborium::into_writer(&News::Share(share), &mut bytes).expect("a share is encoded");
+            ciborium::into_writer(&News::Share(share), &mut bytes).expect("encodable share");
             let _ = socket.send_to(bytes, to).await;
-            compio::time::sleep(TELL).await;
+            compio::time::sleep(GOSSIP_INTERVAL).await;
         }
     }
 
     fn answer(&self, req: &Request<Incoming>) -> Response<Body> {
-        let parts = req.uri().query().unwrap_or_default().split('.');
-        let asked: Vec<u64> = parts.filter_map(|part| part.parse().ok()).collect();
-        let [config, roster, _] = asked[..] else {
+        let requested = req.uri().query().unwrap_or_default().split('.');
+        let requested: Vec<u64> = requested.filter_map(|part| part.parse().ok()).collect();
+        let [config, roster, _] = requested[..] else {
             return http::response(StatusCode::NOT_FOUND, "text/plain", http::full(""));
         };
-        let known = self.known.borrow();
-        let news = || Servers::Changes(known.changes.clone());
+        let state = self.state.borrow();
+        let changes = || Servers::Changes(state.changes.clone());
         let belief = Belief {
-            versions: known.versions,
-            config: known.config.clone().filter(|c| c.version > config),
-            roster: (known.versions.roster > roster).then(news),
+            versions: state.versions,
+            config: state.config.clone().filter(|c| c.version > config),
+            roster: (state.versions.roster > roster).then(changes),
             fleet: None,
-            settled: known.settles == 0,
+            settled: state.settle_ms == 0,
             age: 0,
         };
         let mut bytes = Vec::new();
-        ciborium::into_writer(&belief, &mut bytes).expect("beliefs are encoded");
-        http::response(StatusCode::OK, "application/cbor", slow::body(bytes, RATE))
+        ciborium::into_writer(&belief, &mut bytes).expect("encodable belief");
+        http::response(StatusCode::OK, "application/cbor", slow::body(bytes, BODY_RATE))
     }
 }
--- a/crates/standins/src/fleet/runner.rs
+++ b/crates/standins/src/fleet/runner.rs
@@ -1,6 +1,7 @@
-//! A backend server: a plain one, or a model engine with stages, reservations and handles.
+//! A backend server: a plain one, or a model engine with a stage, reservations and prompt handles.
 //!
-//! It keeps time, not tensors, and writes down what ran, what was cancelled and what is still held.
+//! It simulates processing times without a model, and records what ran, what was cancelled and what is
+//! still reserved.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -20,47 +21,48 @@
 use hyper::body::{Frame, Incoming};
 use hyper::{HeaderMap, Request, Response, StatusCode};
 
-use super::life::Life;
+use super::listener::Listener;
 use super::store::Store;
 
 /// Largest request body.
 const BODY_LIMIT: usize = 4 << 20;
 
-/// How long work may take that came without a time.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Time limit of work that was sent without one.
+const DEFAULT_TIME_LIMIT: Duration = Duration::from_secs(30);
 
-/// Begin of a body under which a backend server ends as soon as it runs it; what follows names the content.
+/// Prefix of a request body that crashes a backend server soon after it starts to process it. The rest
+/// of the body names the content.
 pub const ENDS: &str = "ends servers: ";
-/// The same, and reading its prompt ends an engine too.
+/// Like [`ENDS`]; computing the prompt crashes a prefill engine as well.
 pub const ENDS_READERS: &str = "ends readers: ";
-/// The same, and nothing of it is seen on its connections: they stay open and silent.
+/// Like [`ENDS`], but the connections of the crashed server stay open and silent.
 pub const ENDS_DARK: &str = "ends servers in silence: ";
-/// How long a server is down whose connections stay open.
-const DARK: Duration = Duration::from_millis(2_500);
-/// How long after a crash the registration lapses.
-const LEASE: Duration = Duration::from_millis(1_000);
+/// Downtime after a crash that leaves connections open.
+const SILENT_DOWNTIME: Duration = Duration::from_millis(2_500);
+/// Time from a crash until the registration expires.
+const REGISTRATION_TTL: Duration = Duration::from_millis(1_000);
 
-/// How a backend server behaves.
+/// Capacity and timing of a backend server.
 #[derive(Clone, Debug)]
 pub struct RunnerSpec {
-    /// Requests processed at once.
+    /// Requests processed concurrently.
     pub slots: u32,
-    /// Tokens that memory holds.
+    /// Tokens that fit into the KV cache.
     pub tokens: u64,
-    /// Time of a short call.
+    /// Processing time of a short call.
     pub call: Duration,
-    /// Time of a prompt.
+    /// Time to compute a prompt.
     pub read: Duration,
-    /// Pause between two events.
+    /// Interval between two events of a stream.
     pub pace: Duration,
-    /// Events of a summary.
+    /// Number of events of a summary.
     pub events: u64,
-    /// How long a prompt that was read is kept.
-    pub handle_life: Duration,
-    /// Time from the begin of a run until the server ends under it.
-    pub ends_after: Duration,
-    /// How long it is down then.
-    pub down: Duration,
+    /// How long a computed prompt is kept.
+    pub handle_ttl: Duration,
+    /// Time from the start of a run until its content crashes the server.
+    pub crash_after: Duration,
+    /// Downtime after such a crash.
+    pub downtime: Duration,
 }
 
 impl Default for RunnerSpec {
@@ -72,102 +74,102 @@
             read: Duration::from_millis(40),
             pace: Duration::from_millis(10),
             events: 20,
-            handle_life: Duration::from_millis(500),
-            ends_after: Duration::from_millis(70),
-            down: Duration::from_millis(1_500),
+            handle_ttl: Duration::from_millis(500),
+            crash_after: Duration::from_millis(70),
+            downtime: Duration::from_millis(1_500),
         }
     }
 }
 
-/// How a backend server fails.
+/// Fault of a backend server.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Fault {
-    /// It does not.
+    /// No fault.
     #[default]
     None,
-    /// It answers 500.
+    /// Answers 500.
     Errors,
-    /// It takes requests and never answers.
+    /// Accepts requests and never answers them.
     Hangs,
-    /// The same, and it does not end at the time that came with the work.
+    /// Like `Hangs`, and ignores the time limit that was sent with the work.
     Stuck,
-    /// It runs requests and closes the connection without an answer.
+    /// Runs requests and closes the connection without an answer.
     Loses,
-    /// It turns all requests away, saying that it did not run them.
+    /// Rejects all requests and states that it did not run them.
     Sheds,
-    /// It refuses all reservations.
+    /// Refuses all reservations.
     Full,
-    /// It grants reservations and turns away the requests that use them.
+    /// Grants reservations, then rejects the requests that use them.
     Changes,
-    /// It breaks streams off after half of their events.
+    /// Breaks streams off after half of their events.
     Breaks,
-    /// It resets whatever it is sent before anything runs.
+    /// Breaks off each request before running it.
     Resets,
 }
 
-/// What a backend server has seen.
+/// Requests that a backend server received and what became of them.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
-    /// Runs, by attempt.
+pub struct Observed {
+    /// Runs by attempt.
     pub runs: HashMap<String, usize>,
-    /// Arrivals, by attempt: runs and rejections; prompts read only are not counted.
+    /// Arrivals by attempt: runs and rejections, without prefill requests.
     pub arrivals: HashMap<String, usize>,
-    /// Prompts read, by attempt.
+    /// Prompts computed, by attempt.
     pub prompts: HashMap<String, usize>,
-    /// Prompts that came and were not read, by attempt.
-    pub lost_prompts: HashMap<String, usize>,
-    /// Accounts that requests were sent under, runs and prompts, by attempt.
+    /// Prefill requests that were not computed, by attempt.
+    pub lost_prefills: HashMap<String, usize>,
+    /// Client accounts named by requests, prefill requests included, by attempt.
     pub accounts: HashMap<String, Vec<String>>,
-    /// Requests that showed a key, which no backend server may see.
+    /// Requests that carried a client's API key; a gateway must never forward one.
     pub keyed: u64,
-    /// Prompts read.
+    /// Prompts computed.
     pub reads: u64,
-    /// Runs whose caller left.
+    /// Runs whose client disconnected.
     pub cancelled: u64,
-    /// Reservations that were refused.
+    /// Refused reservations.
     pub refused: u64,
-    /// Orders, with their fencing tokens.
+    /// Stage orders with their fencing tokens.
     pub orders: Vec<(Stage, u64)>,
-    /// Arrivals of content under which servers end, by its name; prompts read only are not counted.
+    /// Arrivals of content that crashes servers, by its name, without prefill requests.
     pub marked: Vec<(String, Instant)>,
-    /// When a life ended, and under which content.
+    /// Crashes: the name of the content that caused it, and the time.
     pub ended: Vec<(String, Instant)>,
-    /// When calls of all kinds came that this life took.
+    /// Times of all calls but releases of reservations and handles.
     pub taken: Vec<Instant>,
-    /// When reservations and prompts were given back.
+    /// Times at which reservations and handles were released.
     pub given_back: Vec<Instant>,
 }
 
-/// A backend server.
+/// A running backend server.
 pub struct Runner {
-    /// Its registration.
+    /// Its current registration.
     pub server: RefCell<Server>,
-    /// What it has seen.
-    pub seen: RefCell<Seen>,
+    /// Requests received so far.
+    pub seen: RefCell<Observed>,
     spec: RunnerSpec,
-    /// Where it listens; its registration may name a relay before it.
+    /// Address that it listens on; its registration may name a relay in front of it.
     addr: SocketAddr,
     fault: Cell<Fault>,
-    /// All its answers say that it leaves.
+    /// All its answers announce that it is leaving.
     leaving: Cell<bool>,
-    /// Work is turned away; it wants nothing for so many seconds.
-    pause: RefCell<Option<String>>,
-    /// It is down, and nothing on its connections says so.
-    dark: Cell<bool>,
-    /// All its answers name this limit.
+    /// Work is rejected with this retry-after value, in seconds.
+    back_off: RefCell<Option<String>>,
+    /// It has crashed, but its connections stay open and silent.
+    silent_crash: Cell<bool>,
+    /// Limit that all its answers announce.
     limit: RefCell<Option<String>>,
-    life: RefCell<Option<Life>>,
-    lives: Cell<u64>,
+    listener: RefCell<Option<Listener>>,
+    incarnations: Cell<u64>,
     store: RefCell<Option<Rc<Store>>>,
     running: Cell<u32>,
     holds: RefCell<HashMap<String, (u64, Instant)>>,
     handles: RefCell<HashMap<String, Instant>>,
     used: Cell<u64>,
-    names: Cell<u64>,
+    last_name: Cell<u64>,
 }
 
 impl Runner {
-    /// Starts one.
+    /// Starts a backend server.
     pub async fn start(server: Server, spec: RunnerSpec) -> Rc<Runner> {
         let addr = server.addr;
         let runner = Rc::new(Runner {
@@ -177,17 +179,17 @@
             spec,
             fault: Cell::default(),
             leaving: Cell::default(),
-            pause: RefCell::default(),
-            dark: Cell::default(),
+            back_off: RefCell::default(),
+            silent_crash: Cell::default(),
             limit: RefCell::default(),
-            life: RefCell::default(),
-            lives: Cell::default(),
+            listener: RefCell::default(),
+            incarnations: Cell::default(),
             store: RefCell::default(),
             running: Cell::default(),
             holds: RefCell::default(),
             handles: RefCell::default(),
             used: Cell::default(),
-            names: Cell::default(),
+            last_name: Cell::default(),
         });
         runner.listen().await;
         runner
@@ -195,93 +197,93 @@
 
     async fn listen(self: &Rc<Self>) {
         let me = self.clone();
-        let life = Life::begin(self.addr, move |req| me.clone().handle(req)).await;
-        self.life.replace(Some(life));
+        let listener = Listener::start(self.addr, move |req| me.clone().handle(req)).await;
+        self.listener.replace(Some(listener));
     }
 
-    /// Registers there after a crash.
+    /// Makes the server register in `store` after each crash.
     pub fn keep_registered(&self, store: &Rc<Store>) {
         self.store.replace(Some(store.clone()));
     }
 
-    /// Has all answers say that it leaves.
+    /// Makes all answers announce that the server is leaving.
     pub fn say_leaving(&self) {
         self.leaving.set(true);
     }
 
-    /// Says so no more; for its next life.
+    /// Stops announcing that the server is leaving.
     pub fn stay(&self) {
         self.leaving.set(false);
     }
 
-    /// Turns work away and wants nothing for so many seconds; none ends that.
+    /// Rejects work with this retry-after value, in seconds; `None` accepts work again.
     pub fn want_nothing(&self, seconds: Option<&str>) {
-        self.pause.replace(seconds.map(str::to_owned));
+        self.back_off.replace(seconds.map(str::to_owned));
     }
 
-    /// Has all answers name a limit of so many requests a second; none ends that.
+    /// Makes all answers announce this limit of requests a second; `None` stops that.
     pub fn name_limit(&self, limit: Option<&str>) {
         self.limit.replace(limit.map(str::to_owned));
     }
 
-    /// Ends as a machine does that loses power: its connections stay open and silent, and so do new ones; it
-    /// comes back later in a new life at the same address.
-    pub fn go_dark(self: &Rc<Self>, under: &str) {
-        if self.dark.replace(true) {
+    /// Crashes as a VM does that loses power: open and new connections stay silent. A new incarnation
+    /// starts later at the same address.
+    pub fn crash_silently(self: &Rc<Self>, content: &str) {
+        if self.silent_crash.replace(true) {
             return;
         }
-        self.seen.borrow_mut().ended.push((under.to_owned(), Instant::now()));
+        self.seen.borrow_mut().ended.push((content.to_owned(), Instant::now()));
         let me = self.clone();
         compio::runtime::spawn(async move {
             let store = me.store.borrow().clone();
             let before = me.server.borrow().clone();
-            compio::time::sleep(LEASE).await;
+            compio::time::sleep(REGISTRATION_TTL).await;
             if let Some(store) = &store {
                 store.unregister(&before);
             }
-            compio::time::sleep(DARK - LEASE).await;
-            me.life.take();
-            me.dark.set(false);
-            me.begin_life(&before).await;
+            compio::time::sleep(SILENT_DOWNTIME - REGISTRATION_TTL).await;
+            me.listener.take();
+            me.silent_crash.set(false);
+            me.start_incarnation(&before).await;
         })
         .detach();
     }
 
-    /// Ends at once, as a crashed process does, and comes back later in a new life at the same address.
-    pub fn crash(self: &Rc<Self>, under: &str) {
-        let Some(life) = self.life.take() else {
+    /// Crashes as a process does: its connections close at once. A new incarnation starts later at the
+    /// same address.
+    pub fn crash(self: &Rc<Self>, content: &str) {
+        let Some(listener) = self.listener.take() else {
             return;
         };
-        self.seen.borrow_mut().ended.push((under.to_owned(), Instant::now()));
+        self.seen.borrow_mut().ended.push((content.to_owned(), Instant::now()));
         let me = self.clone();
-        // A task of its own: what is dropped may be the task that runs now.
+        // Dropped in another task, because the listener may own the task that runs now.
         compio::runtime::spawn(async move {
-            drop(life);
-            me.come_back().await;
+            drop(listener);
+            me.restart_after_crash().await;
         })
         .detach();
     }
 
-    async fn come_back(self: Rc<Self>) {
+    async fn restart_after_crash(self: Rc<Self>) {
         let store = self.store.borrow().clone();
         let before = self.server.borrow().clone();
-        compio::time::sleep(LEASE.min(self.spec.down)).await;
+        compio::time::sleep(REGISTRATION_TTL.min(self.spec.downtime)).await;
         if let Some(store) = &store {
             store.unregister(&before);
         }
-        compio::time::sleep(self.spec.down.saturating_sub(LEASE)).await;
-        self.begin_life(&before).await;
+        compio::time::sleep(self.spec.downtime.saturating_sub(REGISTRATION_TTL)).await;
+        self.start_incarnation(&before).await;
     }
 
-    /// The next life at the address of the one before, which knows nothing of it.
-    async fn begin_life(self: &Rc<Self>, before: &Server) {
+    /// Starts a new incarnation at the same address, without the state of the previous one.
+    async fn start_incarnation(self: &Rc<Self>, before: &Server) {
         self.holds.borrow_mut().clear();
         self.handles.borrow_mut().clear();
-        // The next life says nothing of this one.
         self.leaving.set(false);
-        self.lives.set(self.lives.get() + 1);
-        let first = before.id.name.split('+').next().unwrap_or_default();
-        let name = format!("{first}+{}", self.lives.get());
+        self.incarnations.set(self.incarnations.get() + 1);
+        let base = before.id.name.split('+').next().unwrap_or_default();
+        let name = format!("{base}+{}", self.incarnations.get());
         self.server.borrow_mut().id = ServerId::new(name, 0);
         self.listen().await;
         if let Some(store) = &*self.store.borrow() {
@@ -289,34 +291,34 @@
         }
     }
 
-    /// Makes it fail from now on.
+    /// Sets the fault of all later requests.
     pub fn set_fault(&self, fault: Fault) {
         self.fault.set(fault);
     }
 
-    /// Starts its next life: reservations and handles are gone, its name stays.
+    /// Starts a new incarnation under the same name; reservations and handles are lost.
     pub fn restart(&self) {
         self.holds.borrow_mut().clear();
         self.handles.borrow_mut().clear();
         self.server.borrow_mut().id.born += 1;
     }
 
-    /// How often an attempt ran here.
+    /// Returns how often an attempt ran on this server.
     pub fn runs(&self, attempt: &str) -> usize {
         self.seen.borrow().runs.get(attempt).copied().unwrap_or(0)
     }
 
-    /// Is it alive?
+    /// Returns whether the server listens.
     pub fn is_up(&self) -> bool {
-        self.life.borrow().is_some()
+        self.listener.borrow().is_some()
     }
 
-    /// Requests being processed.
+    /// Returns the number of requests in process.
     pub fn running(&self) -> u32 {
         self.running.get()
     }
 
-    /// Reservations and prompts that are held for somebody.
+    /// Returns the number of unexpired reservations and prompt handles.
     pub fn held(&self) -> usize {
         let now = Instant::now();
         let holds = self.holds.borrow().values().filter(|(_, until)| *until > now).count();
@@ -325,16 +327,16 @@
     }
 
     async fn handle(self: Rc<Self>, req: Request<Incoming>) -> Response<Body> {
-        if self.dark.get() {
+        if self.silent_crash.get() {
             return std::future::pending().await;
         }
         let (parts, body) = req.into_parts();
         let body = http::read_body(body, BODY_LIMIT).await.unwrap_or_default();
-        let mark = Mark::of(&body);
+        let marker = CrashMarker::of(&body);
         let (leaving, me) = (self.leaving.get(), self.clone());
         let limit = self.limit.borrow().clone();
         let call = serve::runner_call(&Request::from_parts(parts, body));
-        let mut response = me.answer(call, mark).await;
+        let mut response = me.dispatch(call, marker).await;
         if leaving {
             serve::say_leaving(response.headers_mut());
         }
@@ -344,10 +346,10 @@
         response
     }
 
-    async fn answer(
+    async fn dispatch(
         self: Rc<Self>,
         call: Option<RunnerCall>,
-        mark: Option<Mark>,
+        marker: Option<CrashMarker>,
     ) -> Response<Body> {
         if let Some(call) = &call
             && !matches!(call, RunnerCall::DropHold { .. } | RunnerCall::DropHandle { .. })
@@ -356,7 +358,7 @@
         }
         match call {
             None => response(400, HeaderMap::new(), Vec::new()),
-            Some(RunnerCall::Hold { tokens, ttl }) => self.hold(tokens, ttl),
+            Some(RunnerCall::Hold { tokens, ttl }) => self.reserve(tokens, ttl),
             Some(RunnerCall::DropHold { hold }) => {
                 self.seen.borrow_mut().given_back.push(Instant::now());
                 self.holds.borrow_mut().remove(&hold);
@@ -371,152 +373,153 @@
                 self.seen.borrow_mut().orders.push((stage, fence));
                 response(202, HeaderMap::new(), Vec::new())
             }
-            Some(RunnerCall::Work(work)) => self.work(work, mark).await,
+            Some(RunnerCall::Work(work)) => self.work(work, marker).await,
         }
     }
 
-    async fn work(self: Rc<Self>, work: Work, mark: Option<Mark>) -> Response<Body> {
+    async fn work(self: Rc<Self>, work: Work, marker: Option<CrashMarker>) -> Response<Body> {
         if work.expected.as_ref().is_some_and(|id| id.name != self.server.borrow().id.name) {
-            self.note_lost_prompt(&work);
+            self.record_lost_prefill(&work);
             return response(serve::MOVED.as_u16(), serve::rejection(&work.attempt), Vec::new());
         }
-        self.note_sender(&work);
+        self.record_accounts(&work);
         if !work.prefill {
             let mut seen = self.seen.borrow_mut();
             *seen.arrivals.entry(work.attempt.clone()).or_default() += 1;
-            seen.marked.extend(mark.iter().map(|mark| (mark.name.clone(), Instant::now())));
+            seen.marked.extend(marker.iter().map(|marker| (marker.name.clone(), Instant::now())));
         }
         if self.fault.get() == Fault::Resets {
-            self.note_lost_prompt(&work);
-            return broken(HeaderMap::new());
+            self.record_lost_prefill(&work);
+            return broken_response(HeaderMap::new());
         }
-        if let Some(seconds) = &*self.pause.borrow() {
-            self.note_lost_prompt(&work);
+        if let Some(seconds) = &*self.back_off.borrow() {
+            self.record_lost_prefill(&work);
             let mut head = serve::rejection(&work.attempt);
             serve::say_pause(&mut head, seconds);
             return response(503, head, Vec::new());
         }
         let full = self.running.get() >= self.spec.slots;
-        let turned = self.fault.get() == Fault::Changes && !work.prefill;
-        if full || turned || self.fault.get() == Fault::Sheds {
-            self.note_lost_prompt(&work);
+        let rejects_run = self.fault.get() == Fault::Changes && !work.prefill;
+        if full || rejects_run || self.fault.get() == Fault::Sheds {
+            self.record_lost_prefill(&work);
             return response(503, serve::rejection(&work.attempt), Vec::new());
         }
-        let (stage, patience) = (self.server.borrow().stage, work.patience);
+        let (stage, time_limit) = (self.server.borrow().stage, work.patience);
         let attempt = work.attempt.clone();
         if self.fault.get() == Fault::Stuck && !work.prefill {
-            self.note_run(&attempt);
+            self.record_run(&attempt);
             return std::future::pending().await;
         }
-        let done = compio::time::timeout(
-            patience.unwrap_or(PATIENCE),
-            self.clone().run(stage, work, mark),
+        let result = compio::time::timeout(
+            time_limit.unwrap_or(DEFAULT_TIME_LIMIT),
+            self.clone().process(stage, work, marker),
         );
-        // Work ends at the time that was sent with it.
-        done.await.unwrap_or_else(|_| response(504, self.head(&attempt), Vec::new()))
+        // Work is abandoned at the time limit that was sent with it.
+        result.await.unwrap_or_else(|_| response(504, self.answer_head(&attempt), Vec::new()))
     }
 
-    async fn run(
+    async fn process(
         self: Rc<Self>,
         stage: Option<Stage>,
         work: Work,
-        mark: Option<Mark>,
+        marker: Option<CrashMarker>,
     ) -> Response<Body> {
-        if let Some(mark) = mark
-            && (mark.reading || !work.prefill)
+        if let Some(marker) = marker
+            && (marker.prefill_too || !work.prefill)
         {
             let me = self.clone();
             compio::runtime::spawn(async move {
-                compio::time::sleep(me.spec.ends_after).await;
-                match mark.dark {
-                    true => me.go_dark(&mark.name),
-                    false => me.crash(&mark.name),
+                compio::time::sleep(me.spec.crash_after).await;
+                match marker.silent {
+                    true => me.crash_silently(&marker.name),
+                    false => me.crash(&marker.name),
                 }
             })
             .detach();
             if stage != Some(Stage::Decode) {
                 return std::future::pending().await;
             }
-            return silent(self.head(&work.attempt));
+            return silent_response(self.answer_head(&work.attempt));
         }
         match (stage, work.prefill) {
-            (Some(Stage::Prefill), true) => self.read(work).await,
-            (Some(Stage::Decode), false) => self.write(work).await,
-            (None, false) => self.call(work).await,
+            (Some(Stage::Prefill), true) => self.compute_prompt(work).await,
+            (Some(Stage::Decode), false) => self.start_stream(work).await,
+            (None, false) => self.run_call(work).await,
             _ => response(serve::MOVED.as_u16(), serve::rejection(&work.attempt), Vec::new()),
         }
     }
 
-    fn hold(&self, tokens: u64, ttl: Duration) -> Response<Body> {
+    fn reserve(&self, tokens: u64, ttl: Duration) -> Response<Body> {
         let now = Instant::now();
         let mut holds = self.holds.borrow_mut();
         holds.retain(|_, (_, until)| *until > now);
-        let held: u64 = holds.values().map(|(t, _)| t).sum();
+        let reserved: u64 = holds.values().map(|(t, _)| t).sum();
         let slots = holds.len() as u32 + self.running.get();
-        let full = held + self.used.get() + tokens > self.spec.tokens || slots >= self.spec.slots;
+        let full =
+            reserved + self.used.get() + tokens > self.spec.tokens || slots >= self.spec.slots;
         if full || self.fault.get() == Fault::Full {
             self.seen.borrow_mut().refused += 1;
             return response(503, HeaderMap::new(), Vec::new());
         }
-        let name = self.name("hold");
+        let name = self.next_name("hold");
         holds.insert(name.clone(), (tokens, now + ttl));
         response(200, HeaderMap::new(), serve::held(&name))
     }
 
-    async fn read(&self, work: Work) -> Response<Body> {
-        let run = Run::begin(self, 0);
+    async fn compute_prompt(&self, work: Work) -> Response<Body> {
+        let run = RunGuard::start(self, 0);
         compio::time::sleep(self.spec.read).await;
-        run.close();
+        run.finish();
         let mut seen = self.seen.borrow_mut();
         seen.reads += 1;
         *seen.prompts.entry(work.attempt.clone()).or_default() += 1;
         drop(seen);
-        let handle = self.name("handle");
-        self.handles.borrow_mut().insert(handle.clone(), Instant::now() + self.spec.handle_life);
+        let handle = self.next_name("handle");
+        self.handles.borrow_mut().insert(handle.clone(), Instant::now() + self.spec.handle_ttl);
         let head = serve::answer_head(&Answered { attempt: work.attempt, ..Answered::default() });
         response(200, head, serve::read_prompt(&handle, work.prompt))
     }
 
-    async fn call(&self, work: Work) -> Response<Body> {
-        self.note_run(&work.attempt);
-        let run = Run::begin(self, 0);
+    async fn run_call(&self, work: Work) -> Response<Body> {
+        self.record_run(&work.attempt);
+        let run = RunGuard::start(self, 0);
         match self.fault.get() {
             Fault::Hangs => std::future::pending::<()>().await,
             _ => compio::time::sleep(self.spec.call).await,
         }
-        run.close();
+        run.finish();
         match self.fault.get() {
-            Fault::Errors => response(500, self.head(&work.attempt), b"failed".to_vec()),
-            Fault::Loses => broken(self.head(&work.attempt)),
+            Fault::Errors => response(500, self.answer_head(&work.attempt), b"failed".to_vec()),
+            Fault::Loses => broken_response(self.answer_head(&work.attempt)),
             _ => {
                 let body = format!("{{\"valid\":true,\"attempt\":\"{}\"}}", work.attempt);
-                response(200, self.head(&work.attempt), body.into_bytes())
+                response(200, self.answer_head(&work.attempt), body.into_bytes())
             }
         }
     }
 
-    async fn write(self: Rc<Self>, work: Work) -> Response<Body> {
+    async fn start_stream(self: Rc<Self>, work: Work) -> Response<Body> {
         if let Some(hold) = &work.hold {
             self.holds.borrow_mut().remove(hold);
         }
-        self.note_run(&work.attempt);
+        self.record_run(&work.attempt);
         if self.fault.get() == Fault::Errors {
-            return response(500, self.head(&work.attempt), b"failed".to_vec());
+            return response(500, self.answer_head(&work.attempt), b"failed".to_vec());
         }
         if self.fault.get() == Fault::Hangs {
             std::future::pending::<()>().await;
         }
-        let head = self.head(&work.attempt);
+        let head = self.answer_head(&work.attempt);
         let (sender, receiver) = mpsc::channel(1);
         let me = self.clone();
-        compio::runtime::spawn(async move { me.stream(work, sender).await }).detach();
+        compio::runtime::spawn(async move { me.send_events(work, sender).await }).detach();
         let mut response = Response::new(StreamBody::new(receiver).boxed_unsync());
         *response.headers_mut() = head;
         response
     }
 
-    async fn stream(&self, work: Work, mut out: mpsc::Sender<Result<Frame<Bytes>, Broken>>) {
-        let run = Run::begin(self, work.prompt);
+    async fn send_events(&self, work: Work, mut out: mpsc::Sender<Result<Frame<Bytes>, Broken>>) {
+        let run = RunGuard::start(self, work.prompt);
         let first = work.after.map_or(1, |a| a + 1);
         if work.source.is_none() {
             compio::time::sleep(self.spec.read * 2).await;
@@ -526,95 +529,95 @@
             let event = format!("id: {id}\ndata: {} tokens {id}\n\n", work.attempt);
             let half = id * 2 > self.spec.events + 1;
             let (data, last) = match self.fault.get() == Fault::Breaks && half {
-                // The part of an event that left before the end.
+                // The break cuts an event in half.
                 true => (event.as_bytes()[..event.len() / 2].to_vec(), true),
                 false => (event.into_bytes(), false),
             };
             if out.send(Ok(Frame::data(Bytes::from(data)))).await.is_err() {
                 self.seen.borrow_mut().cancelled += 1;
-                return run.close();
+                return run.finish();
             }
             if last {
                 compio::time::sleep(self.spec.pace).await;
-                // A caller who is gone needs no sign of the break.
+                // Fails only if the client has disconnected.
                 let _ = out.send(Err(Broken)).await;
-                return run.close();
+                return run.finish();
             }
         }
-        run.close();
+        run.finish();
     }
 
-    fn head(&self, attempt: &str) -> HeaderMap {
+    fn answer_head(&self, attempt: &str) -> HeaderMap {
         let id = self.server.borrow().id.name.clone();
         let load = Load { running: self.running.get(), waiting: 0, slots: self.spec.slots };
         let attempt = attempt.to_owned();
         serve::answer_head(&Answered { attempt, stamp: Some(id), load: Some(load) })
     }
 
-    fn note_sender(&self, work: &Work) {
+    fn record_accounts(&self, work: &Work) {
         let mut seen = self.seen.borrow_mut();
         seen.keyed += u64::from(work.keyed);
         seen.accounts.insert(work.attempt.clone(), work.accounts.clone());
     }
 
-    fn note_lost_prompt(&self, work: &Work) {
+    fn record_lost_prefill(&self, work: &Work) {
         if work.prefill {
             let mut seen = self.seen.borrow_mut();
-            *seen.lost_prompts.entry(work.attempt.clone()).or_default() += 1;
+            *seen.lost_prefills.entry(work.attempt.clone()).or_default() += 1;
         }
     }
 
-    fn note_run(&self, attempt: &str) {
+    fn record_run(&self, attempt: &str) {
         *self.seen.borrow_mut().runs.entry(attempt.to_owned()).or_default() += 1;
     }
 
-    fn name(&self, kind: &str) -> String {
-        self.names.set(self.names.get() + 1);
-        format!("{kind}{}", self.names.get())
+    fn next_name(&self, kind: &str) -> String {
+        self.last_name.set(self.last_name.get() + 1);
+        format!("{kind}{}", self.last_name.get())
     }
 }
 
-/// Content under which a server ends.
+/// Marker in a request body that crashes the server.
 #[derive(Clone, Debug)]
-struct Mark {
+struct CrashMarker {
     name: String,
-    /// Reading its prompt ends an engine too.
-    reading: bool,
-    /// Nothing of the end is seen on its connections.
-    dark: bool,
+    /// Computing the prompt crashes a prefill engine as well.
+    prefill_too: bool,
+    /// Connections stay open and silent after the crash.
+    silent: bool,
 }
 
-impl Mark {
-    fn of(body: &[u8]) -> Option<Mark> {
+impl CrashMarker {
+    fn of(body: &[u8]) -> Option<CrashMarker> {
         let text = std::str::from_utf8(body).ok()?;
-        let named = |begin| text.strip_prefix(begin).map(|rest: &str| rest.trim_end().to_owned());
-        let mark = |name, reading, dark| Mark { name, reading, dark };
-        let runs = named(ENDS).map(|name| mark(name, false, false));
-        let reads = || named(ENDS_READERS).map(|name| mark(name, true, false));
-        runs.or_else(reads).or_else(|| Some(mark(named(ENDS_DARK)?, false, true)))
+        let named = |prefix| text.strip_prefix(prefix).map(|rest: &str| rest.trim_end().to_owned());
+        let marker = |name, prefill_too, silent| CrashMarker { name, prefill_too, silent };
+        let on_run = named(ENDS).map(|name| marker(name, false, false));
+        let on_prefill = || named(ENDS_READERS).map(|name| marker(name, true, false));
+        on_run.or_else(on_prefill).or_else(|| Some(marker(named(ENDS_DARK)?, false, true)))
     }
 }
 
-/// A request that takes a slot and memory.
-struct Run<'a> {
+/// Slot and memory of a running request, released on drop.
+struct RunGuard<'a> {
     runner: &'a Runner,
     tokens: u64,
 }
 
-impl<'a> Run<'a> {
-    fn begin(runner: &'a Runner, tokens: u64) -> Self {
+impl<'a> RunGuard<'a> {
+    fn start(runner: &'a Runner, tokens: u64) -> Self {
         runner.running.set(runner.running.get() + 1);
         runner.used.set(runner.used.get() + tokens);
-        Run { runner, tokens }
+        RunGuard { runner, tokens }
     }
 
-    fn close(self) {
+    fn finish(self) {
         drop(self);
     }
 }
 
-impl Drop for Run<'_> {
-    /// Also when the task is dropped because its caller left.
+impl Drop for RunGuard<'_> {
+    /// Runs also when the task is dropped because the client disconnected.
     fn drop(&mut self) {
         self.runner.running.set(self.runner.running.get() - 1);
         self.runner.used.set(self.runner.used.get() - self.tokens);
@@ -628,16 +631,16 @@
     response
 }
 
-/// An answer whose body does not come.
-fn silent(headers: HeaderMap) -> Response<Body> {
+/// Returns a response whose body never arrives.
+fn silent_response(headers: HeaderMap) -> Response<Body> {
     let body = StreamBody::new(futures_util::stream::pending::<Result<Frame<Bytes>, Broken>>());
     let mut response = Response::new(body.boxed_unsync());
     *response.headers_mut() = headers;
     response
 }
 
-/// An answer that ends before its body.
-fn broken(headers: HeaderMap) -> Response<Body> {
+/// Returns a response that breaks off before its body.
+fn broken_response(headers: HeaderMap) -> Response<Body> {
     let (mut sender, receiver) = mpsc::channel(1);
     // The channel is new and empty.
     let _ = sender.try_send(Err(Broken));
--- a/crates/standins/src/fleet/slow.rs
+++ b/crates/standins/src/fleet/slow.rs
@@ -1,4 +1,4 @@
-//! Bodies that come slowly, as over a weak link.
+//! Response bodies sent at a limited rate, as over a slow link.
 
 use std::time::Duration;
 
@@ -7,20 +7,20 @@
 use futures_channel::mpsc;
 use futures_util::SinkExt;
 
-/// Parts a second in which a body comes.
-const PARTS: usize = 50;
+/// Chunks of a body sent in a second.
+const CHUNKS_PER_SEC: usize = 50;
 
-/// A body that comes in parts, at so many bytes a second.
+/// Returns a body that is sent in chunks at `rate` bytes a second.
 pub fn body(bytes: Vec<u8>, rate: usize) -> Body {
-    let (mut tell, parts) = mpsc::channel(0);
+    let (mut sender, receiver) = mpsc::channel(0);
     compio::runtime::spawn(async move {
-        for part in Bytes::from(bytes).chunks(rate.div_ceil(PARTS)) {
-            compio::time::sleep(Duration::from_secs(1) / PARTS as u32).await;
-            if tell.send(Bytes::copy_from_slice(part)).await.is_err() {
+        for chunk in Bytes::from(bytes).chunks(rate.div_ceil(CHUNKS_PER_SEC)) {
+            compio::time::sleep(Duration::from_secs(1) / CHUNKS_PER_SEC as u32).await;
+            if sender.send(Bytes::copy_from_slice(chunk)).await.is_err() {
                 return;
             }
         }
     })
     .detach();
-    http::streamed(parts)
+    http::streamed(receiver)
 }
--- a/crates/standins/src/fleet/store.rs
+++ b/crates/standins/src/fleet/store.rs
@@ -1,4 +1,4 @@
-//! The platform's metadata store: revisions, conditions, leases, watches, and its failures.
+//! The platform's metadata store with revisions, conditional writes, leases, watches and faults.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -20,29 +20,29 @@
 
 /// Largest request body.
 const BODY_LIMIT: usize = 4 << 20;
-/// Items on a page.
-const PAGE: usize = 50;
-/// How often a waiting watch looks for changes.
-const LOOK: Duration = Duration::from_millis(5);
+/// Items of one page of a range read.
+const PAGE_ITEMS: usize = 50;
+/// Interval at which a waiting watch checks for changes.
+const WATCH_POLL: Duration = Duration::from_millis(5);
 
-/// How the store fails.
+/// Fault of the store.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Fault {
-    /// It does not.
+    /// No fault.
     #[default]
     None,
-    /// It answers 503 and does nothing.
+    /// Answers 503 and performs no call; waiting watches answer 503 too.
     Busy,
-    /// It does not answer and does nothing.
+    /// Neither performs nor answers calls; waiting watches answer 503.
     Silent,
-    /// It does what it is told and does not answer.
+    /// Performs calls without answering them; waiting watches answer 503.
     Lost,
-    /// It takes calls and answers none, nor the watches that wait.
+    /// Like `Silent`; waiting watches are not answered either.
     Deaf,
 }
 
 struct Lease {
-    ends: Instant,
+    expires_at: Instant,
     ttl: Duration,
 }
 
@@ -50,19 +50,19 @@
 struct State {
     items: BTreeMap<String, (Item, u64)>,
     history: Vec<Item>,
-    /// Changes up to this revision are no longer told.
-    compacted: u64,
+    /// Last revision whose changes are no longer kept.
+    compacted_revision: u64,
     revision: u64,
     leases: HashMap<u64, Lease>,
     next_lease: u64,
 }
 
-/// A store.
+/// A running metadata store.
 #[derive(Default)]
 pub struct Store {
     state: RefCell<State>,
     fault: Cell<Fault>,
-    /// Bytes a second at which each answer's body comes; none for at once.
+    /// Bytes a second at which bodies of answers are sent; unlimited if `None`.
     rate: Cell<Option<usize>>,
     calls: Cell<u64>,
 }
@@ -79,27 +79,27 @@
         store
     }
 
-    /// Makes it fail from now on.
+    /// Sets the fault of all later calls.
     pub fn set_fault(&self, fault: Fault) {
         self.fault.set(fault);
     }
 
-    /// From now on the body of each answer comes at so many bytes a second, as over a slow link.
+    /// Limits the bodies of later answers to `rate` bytes a second, as over a slow link.
     pub fn set_rate(&self, rate: usize) {
         self.rate.set(Some(rate));
     }
 
-    /// Calls so far.
+    /// Returns the number of calls so far.
     pub fn calls(&self) -> u64 {
         self.calls.get()
     }
 
-    /// The value of a key.
+    /// Returns the value of a key.
     pub fn value(&self, key: &str) -> Option<Bytes> {
         self.state.borrow().items.get(key).and_then(|(i, _)| i.value.clone())
     }
 
-    /// Writes a key.
+    /// Writes a key under a lease; lease 0 is none.
     pub fn put(&self, key: &str, value: &[u8], lease: u64) {
         self.state.borrow_mut().write(key, Some(Bytes::copy_from_slice(value)), lease);
     }
@@ -109,13 +109,13 @@
         self.state.borrow_mut().write(key, None, 0);
     }
 
-    /// The keys of a prefix.
+    /// Returns the keys under a prefix.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let state = self.state.borrow();
         state.items.keys().filter(|key| key.starts_with(prefix)).cloned().collect()
     }
 
-    /// Shows nobody the keys of a prefix.
+    /// Removes the keys under a prefix and their history, so that watches see no removal.
     pub fn hide(&self, prefix: &str) {
         let keys = self.keys(prefix);
         let mut state = self.state.borrow_mut();
@@ -136,10 +136,10 @@
         self.remove(&format!("{}{}", servers::PREFIX, server.id.name));
     }
 
-    /// Forgets all history.
+    /// Drops the history, so that watches from an older revision fail.
     pub fn compact(&self) {
         let mut state = self.state.borrow_mut();
-        state.compacted = state.revision;
+        state.compacted_revision = state.revision;
         state.history.clear();
     }
 
@@ -167,21 +167,21 @@
     }
 
     async fn perform(&self, call: StoreCall) -> (u16, Vec<u8>) {
-        self.state.borrow_mut().expire();
+        self.state.borrow_mut().expire_leases();
         match call {
             StoreCall::Get { key } => self.state.borrow().get(&key),
             StoreCall::Range { prefix, after } => self.state.borrow().range(&prefix, &after),
             StoreCall::Watch { prefix, after, wait } => self.watch(&prefix, after, wait).await,
             StoreCall::Lease { ttl } => {
-                let id = self.state.borrow_mut().grant(ttl);
+                let id = self.state.borrow_mut().grant_lease(ttl);
                 (200, serve::granted(id, ttl))
             }
-            StoreCall::Keep { id } => match self.state.borrow_mut().renew(id) {
+            StoreCall::Keep { id } => match self.state.borrow_mut().renew_lease(id) {
                 Some(ttl) => (200, serve::kept(ttl)),
                 None => (404, Vec::new()),
             },
             StoreCall::End { id } => {
-                self.state.borrow_mut().end(id);
+                self.state.borrow_mut().end_lease(id);
                 (200, Vec::new())
             }
             StoreCall::Txn { expected, writes, remove } => {
@@ -200,16 +200,16 @@
             }
             {
                 let mut state = self.state.borrow_mut();
-                state.expire();
-                if after < state.compacted {
+                state.expire_leases();
+                if after < state.compacted_revision {
                     return (410, Vec::new());
                 }
-                let news = state.since(prefix, after);
-                if !news.is_empty() || Instant::now() >= end {
-                    return (200, serve::changes(&news, state.revision));
+                let changes = state.changes_since(prefix, after);
+                if !changes.is_empty() || Instant::now() >= end {
+                    return (200, serve::changes(&changes, state.revision));
                 }
             }
-            compio::time::sleep(LOOK).await;
+            compio::time::sleep(WATCH_POLL).await;
         }
     }
 }
@@ -238,28 +238,28 @@
             .values()
             .map(|(i, _)| i)
             .filter(|i| i.key.starts_with(prefix) && i.key.as_str() > after);
-        let page: Vec<Item> = found.by_ref().take(PAGE).cloned().collect();
+        let page: Vec<Item> = found.by_ref().take(PAGE_ITEMS).cloned().collect();
         (200, serve::range(&page, found.next().is_some(), self.revision))
     }
 
-    fn since(&self, prefix: &str, after: u64) -> Vec<Item> {
-        let news = |i: &&Item| i.revision > after && i.key.starts_with(prefix);
-        self.history.iter().filter(news).cloned().collect()
+    fn changes_since(&self, prefix: &str, after: u64) -> Vec<Item> {
+        let is_newer = |i: &&Item| i.revision > after && i.key.starts_with(prefix);
+        self.history.iter().filter(is_newer).cloned().collect()
     }
 
-    fn grant(&mut self, ttl: Duration) -> u64 {
+    fn grant_lease(&mut self, ttl: Duration) -> u64 {
         self.next_lease += 1;
-        self.leases.insert(self.next_lease, Lease { ends: Instant::now() + ttl, ttl });
+        self.leases.insert(self.next_lease, Lease { expires_at: Instant::now() + ttl, ttl });
         self.next_lease
     }
 
-    fn renew(&mut self, id: u64) -> Option<Duration> {
+    fn renew_lease(&mut self, id: u64) -> Option<Duration> {
         let lease = self.leases.get_mut(&id)?;
-        lease.ends = Instant::now() + lease.ttl;
+        lease.expires_at = Instant::now() + lease.ttl;
         Some(lease.ttl)
     }
 
-    fn end(&mut self, id: u64) {
+    fn end_lease(&mut self, id: u64) {
         self.leases.remove(&id);
         let keys: Vec<String> =
             self.items.iter().filter(|(_, (_, l))| *l == id).map(|(k, _)| k.clone()).collect();
@@ -268,12 +268,12 @@
         }
     }
 
-    fn expire(&mut self) {
+    fn expire_leases(&mut self) {
         let now = Instant::now();
-        let ended: Vec<u64> =
-            self.leases.iter().filter(|(_, l)| l.ends <= now).map(|(id, _)| *id).collect();
-        for id in ended {
-            self.end(id);
+        let expired: Vec<u64> =
+            self.leases.iter().filter(|(_, l)| l.expires_at <= now).map(|(id, _)| *id).collect();
+        for id in expired {
+            self.end_lease(id);
         }
     }
 
@@ -283,10 +283,10 @@
         writes: &[Written],
         remove: &[String],
     ) -> (u16, Vec<u8>) {
-        let holds = |(key, revision): &(String, u64)| {
+        let is_current = |(key, revision): &(String, u64)| {
             self.items.get(key).map_or(0, |(i, _)| i.revision) == *revision
         };
-        if !expected.iter().all(holds) {
+        if !expected.iter().all(is_current) {
             return (412, b"{\"items\":[]}".to_vec());
         }
         if writes.iter().any(|w| w.lease != 0 && !self.leases.contains_key(&w.lease)) {
