--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -286,7 +286,7 @@
         String::from_utf8_lossy(&page.body).into_owned()
     }
 
-    /// Waits up to 10 s until a gateway is ready.
+    /// Waits until a gateway is ready; panics after 1,000 checks, about 10 s.
     pub async fn wait_ready(&self, gateway: usize) {
         for _ in 0..1_000 {
             if self.readiness(gateway).await == 200 {
@@ -294,7 +294,7 @@
             }
             compio::time::sleep(Duration::from_millis(10)).await;
         }
-        panic!("gateway {gateway} did not become ready within 10 s");
+        panic!("gateway {gateway} did not become ready");
     }
 
     /// Returns how often an attempt ran, over all backend servers.
--- a/crates/standins/src/fleet/peer.rs
+++ b/crates/standins/src/fleet/peer.rs
@@ -57,7 +57,8 @@
         peer
     }
 
-    /// Returns its registration; `power` is in thousandths of a core.
+    /// Returns its registration with `power` in thousandths of a core; of the gateways of a zone, the one
+    /// with the most power takes duties first.
     pub fn registration(&self, power: u32) -> Vec<u8> {
         format!("{{\"addr\":\"{}\",\"zone\":\"a\",\"power\":{power}}}", self.addr).into_bytes()
     }
