--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -76,13 +76,12 @@
 
 impl Default for FleetSpec {
     fn default() -> Self {
-        let runner = RunnerSpec::default();
         FleetSpec {
             gateways: 2,
             readers: 1,
             writers: 2,
             plain: 2,
-            runner,
+            runner: RunnerSpec::default(),
             accounts: None,
             revoke: None,
         }
@@ -134,7 +133,7 @@
 impl Fleet {
     /// Starts all processes and waits until all gateways are ready.
     pub async fn start(spec: &FleetSpec) -> Fleet {
-        let mut fleet = Fleet::without_gateways(spec).await;
+        let mut fleet = Fleet::start_without_gateways(spec).await;
         for _ in 0..spec.gateways {
             fleet.add_gateway();
         }
@@ -145,7 +144,7 @@
     }
 
     /// Starts the store and the backend servers only.
-    pub async fn without_gateways(spec: &FleetSpec) -> Fleet {
+    pub async fn start_without_gateways(spec: &FleetSpec) -> Fleet {
         // Tests run in parallel processes; each process uses its own loopback network.
         let pid = std::process::id();
         let net = [1 + (pid >> 8 & 0x7f) as u8, (pid & 0xff) as u8];
@@ -198,11 +197,11 @@
             draining: false,
             stage,
         };
-        let runner = Runner::start(server, spec.clone()).await;
-        runner.keep_registered(&self.store);
-        self.store.register(&runner.server.borrow());
-        self.runners.push(runner.clone());
-        runner
+        let backend = Runner::start(server, spec.clone()).await;
+        backend.keep_registered(&self.store);
+        self.store.register(&backend.server.borrow());
+        self.runners.push(backend.clone());
+        backend
     }
 
     /// Starts a gateway in the default zone without waiting until it is ready.
@@ -307,8 +306,8 @@
     pub fn extra_arrivals(&self) -> usize {
         let mut arrivals: HashMap<String, usize> = HashMap::new();
         let mut computed: HashMap<String, usize> = HashMap::new();
-        for runner in &self.runners {
-            let seen = runner.seen.borrow();
+        for backend in &self.runners {
+            let seen = backend.seen.borrow();
             for (attempt, count) in seen.arrivals.iter().chain(&seen.lost_prefills) {
                 *arrivals.entry(attempt.clone()).or_default() += count;
             }
--- a/crates/standins/src/fleet/caller.rs
+++ b/crates/standins/src/fleet/caller.rs
@@ -47,20 +47,20 @@
 pub struct Caller {
     addr: SocketAddr,
     pool: Pool,
-    patience: Duration,
+    summary_timeout: Duration,
     key: Option<String>,
 }
 
 impl Caller {
     /// Creates a caller of the gateway at `addr`.
     pub fn new(addr: SocketAddr) -> Self {
-        let patience = Duration::from_secs(14);
-        Caller { addr, pool: Pool::new(Clock::default()), patience, key: None }
+        let summary_timeout = Duration::from_secs(14);
+        Caller { addr, pool: Pool::new(Clock::default()), summary_timeout, key: None }
     }
 
     /// Sets the timeout that is sent with summaries.
-    pub fn patience(mut self, patience: Duration) -> Self {
-        self.patience = patience;
+    pub fn patience(mut self, timeout: Duration) -> Self {
+        self.summary_timeout = timeout;
         self
     }
 
@@ -99,9 +99,9 @@
         attempt: &str,
         body: String,
     ) -> Result<Answer, ExchangeError> {
-        let summary = path.starts_with("/summary");
-        let patience = if summary { self.patience } else { Duration::from_secs(1) };
-        let tokens = summary.then_some((3_000, 2_040));
+        let is_summary = path.starts_with("/summary");
+        let patience = if is_summary { self.summary_timeout } else { Duration::from_secs(1) };
+        let tokens = is_summary.then_some((3_000, 2_040));
         let sent = Sent { host: HOST, path, attempt, patience, tokens, body: body.into() };
         self.send(serve::request(&sent)).await
     }
@@ -109,7 +109,7 @@
     /// Returns a request for a summary.
     pub fn summary_request(&self, path: &str, attempt: &str) -> Request<Bytes> {
         let body = Bytes::from(vec![b'x'; 3_000]);
-        let (patience, tokens) = (self.patience, Some((3_000, 2_040)));
+        let (patience, tokens) = (self.summary_timeout, Some((3_000, 2_040)));
         serve::request(&Sent { host: HOST, path, attempt, patience, tokens, body })
     }
 
--- a/crates/standins/src/fleet/peer.rs
+++ b/crates/standins/src/fleet/peer.rs
@@ -79,8 +79,8 @@
 
     /// Sets the announced time until a missing registration counts as the backend server's removal, in
     /// milliseconds.
-    pub fn set_settles(&self, settles: u32) {
-        self.state.borrow_mut().settle_ms = settles;
+    pub fn set_settles(&self, settle_ms: u32) {
+        self.state.borrow_mut().settle_ms = settle_ms;
     }
 
     /// Sends gossip datagrams to a gateway until the process ends.
--- a/crates/standins/src/fleet/runner.rs
+++ b/crates/standins/src/fleet/runner.rs
@@ -103,7 +103,7 @@
     Changes,
     /// Breaks streams off after half of their events.
     Breaks,
-    /// Breaks off each request before running it.
+    /// Breaks off each request previous running it.
     Resets,
 }
 
@@ -159,12 +159,16 @@
     /// Limit that all its answers announce.
     limit: RefCell<Option<String>>,
     listener: RefCell<Option<Listener>>,
-    incarnations: Cell<u64>,
+    /// Number of restarts after crashes.
+    restarts: Cell<u64>,
+    /// Store to register in after a crash.
     store: RefCell<Option<Rc<Store>>>,
     running: Cell<u32>,
+    /// Reserved tokens and expiry by name of the reservation.
     holds: RefCell<HashMap<String, (u64, Instant)>>,
+    /// Expiry of computed prompts by name of the handle.
     handles: RefCell<HashMap<String, Instant>>,
-    used: Cell<u64>,
+    used_tokens: Cell<u64>,
     last_name: Cell<u64>,
 }
 
@@ -172,7 +176,7 @@
     /// Starts a backend server.
     pub async fn start(server: Server, spec: RunnerSpec) -> Rc<Runner> {
         let addr = server.addr;
-        let runner = Rc::new(Runner {
+        let backend = Rc::new(Runner {
             server: RefCell::new(server),
             addr,
             seen: RefCell::default(),
@@ -183,16 +187,16 @@
             silent_crash: Cell::default(),
             limit: RefCell::default(),
             listener: RefCell::default(),
-            incarnations: Cell::default(),
+            restarts: Cell::default(),
             store: RefCell::default(),
             running: Cell::default(),
             holds: RefCell::default(),
             handles: RefCell::default(),
-            used: Cell::default(),
+            used_tokens: Cell::default(),
             last_name: Cell::default(),
         });
-        runner.listen().await;
-        runner
+        backend.listen().await;
+        backend
     }
 
     async fn listen(self: &Rc<Self>) {
@@ -236,15 +240,15 @@
         let me = self.clone();
         compio::runtime::spawn(async move {
             let store = me.store.borrow().clone();
-            let before = me.server.borrow().clone();
+            let previous = me.server.borrow().clone();
             compio::time::sleep(REGISTRATION_TTL).await;
             if let Some(store) = &store {
-                store.unregister(&before);
+                store.unregister(&previous);
             }
             compio::time::sleep(SILENT_DOWNTIME - REGISTRATION_TTL).await;
             me.listener.take();
             me.silent_crash.set(false);
-            me.start_incarnation(&before).await;
+            me.start_incarnation(&previous).await;
         })
         .detach();
     }
@@ -267,23 +271,23 @@
 
     async fn restart_after_crash(self: Rc<Self>) {
         let store = self.store.borrow().clone();
-        let before = self.server.borrow().clone();
+        let previous = self.server.borrow().clone();
         compio::time::sleep(REGISTRATION_TTL.min(self.spec.downtime)).await;
         if let Some(store) = &store {
-            store.unregister(&before);
+            store.unregister(&previous);
         }
         compio::time::sleep(self.spec.downtime.saturating_sub(REGISTRATION_TTL)).await;
-        self.start_incarnation(&before).await;
+        self.start_incarnation(&previous).await;
     }
 
     /// Starts a new incarnation at the same address, without the state of the previous one.
-    async fn start_incarnation(self: &Rc<Self>, before: &Server) {
+    async fn start_incarnation(self: &Rc<Self>, previous: &Server) {
         self.holds.borrow_mut().clear();
         self.handles.borrow_mut().clear();
         self.leaving.set(false);
-        self.incarnations.set(self.incarnations.get() + 1);
-        let base = before.id.name.split('+').next().unwrap_or_default();
-        let name = format!("{base}+{}", self.incarnations.get());
+        self.restarts.set(self.restarts.get() + 1);
+        let base = previous.id.name.split('+').next().unwrap_or_default();
+        let name = format!("{base}+{}", self.restarts.get());
         self.server.borrow_mut().id = ServerId::new(name, 0);
         self.listen().await;
         if let Some(store) = &*self.store.borrow() {
@@ -373,11 +377,11 @@
                 self.seen.borrow_mut().orders.push((stage, fence));
                 response(202, HeaderMap::new(), Vec::new())
             }
-            Some(RunnerCall::Work(work)) => self.work(work, marker).await,
+            Some(RunnerCall::Work(work)) => self.admit(work, marker).await,
         }
     }
 
-    async fn work(self: Rc<Self>, work: Work, marker: Option<CrashMarker>) -> Response<Body> {
+    async fn admit(self: Rc<Self>, work: Work, marker: Option<CrashMarker>) -> Response<Body> {
         if work.expected.as_ref().is_some_and(|id| id.name != self.server.borrow().id.name) {
             self.record_lost_prefill(&work);
             return response(serve::MOVED.as_u16(), serve::rejection(&work.attempt), Vec::new());
@@ -455,8 +459,8 @@
         holds.retain(|_, (_, until)| *until > now);
         let reserved: u64 = holds.values().map(|(t, _)| t).sum();
         let slots = holds.len() as u32 + self.running.get();
-        let full =
-            reserved + self.used.get() + tokens > self.spec.tokens || slots >= self.spec.slots;
+        let full = reserved + self.used_tokens.get() + tokens > self.spec.tokens
+            || slots >= self.spec.slots;
         if full || self.fault.get() == Fault::Full {
             self.seen.borrow_mut().refused += 1;
             return response(503, HeaderMap::new(), Vec::new());
@@ -521,14 +525,15 @@
     async fn send_events(&self, work: Work, mut out: mpsc::Sender<Result<Frame<Bytes>, Broken>>) {
         let run = RunGuard::start(self, work.prompt);
         let first = work.after.map_or(1, |a| a + 1);
+        // A decode engine takes twice as long to compute a prompt itself.
         if work.source.is_none() {
             compio::time::sleep(self.spec.read * 2).await;
         }
         for id in first..=self.spec.events {
             compio::time::sleep(self.spec.pace).await;
             let event = format!("id: {id}\ndata: {} tokens {id}\n\n", work.attempt);
-            let half = id * 2 > self.spec.events + 1;
-            let (data, last) = match self.fault.get() == Fault::Breaks && half {
+            let past_half = id * 2 > self.spec.events + 1;
+            let (data, is_break) = match self.fault.get() == Fault::Breaks && past_half {
                 // The break cuts an event in half.
                 true => (event.as_bytes()[..event.len() / 2].to_vec(), true),
                 false => (event.into_bytes(), false),
@@ -537,7 +542,7 @@
                 self.seen.borrow_mut().cancelled += 1;
                 return run.finish();
             }
-            if last {
+            if is_break {
                 compio::time::sleep(self.spec.pace).await;
                 // Fails only if the client has disconnected.
                 let _ = out.send(Err(Broken)).await;
@@ -600,15 +605,15 @@
 
 /// Slot and memory of a running request, released on drop.
 struct RunGuard<'a> {
-    runner: &'a Runner,
+    backend: &'a Runner,
     tokens: u64,
 }
 
 impl<'a> RunGuard<'a> {
-    fn start(runner: &'a Runner, tokens: u64) -> Self {
-        runner.running.set(runner.running.get() + 1);
-        runner.used.set(runner.used.get() + tokens);
-        RunGuard { runner, tokens }
+    fn start(backend: &'a Runner, tokens: u64) -> Self {
+        backend.running.set(backend.running.get() + 1);
+        backend.used_tokens.set(backend.used_tokens.get() + tokens);
+        RunGuard { backend, tokens }
     }
 
     fn finish(self) {
@@ -619,8 +624,8 @@
 impl Drop for RunGuard<'_> {
     /// Runs also when the task is dropped because the client disconnected.
     fn drop(&mut self) {
-        self.runner.running.set(self.runner.running.get() - 1);
-        self.runner.used.set(self.runner.used.get() - self.tokens);
+        self.backend.running.set(self.backend.running.get() - 1);
+        self.backend.used_tokens.set(self.backend.used_tokens.get() - self.tokens);
     }
 }
 
@@ -639,7 +644,7 @@
     response
 }
 
-/// Returns a response that breaks off before its body.
+/// Returns a response that breaks off previous its body.
 fn broken_response(headers: HeaderMap) -> Response<Body> {
     let (mut sender, receiver) = mpsc::channel(1);
     // The channel is new and empty.
