--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -76,12 +76,13 @@
 
 impl Default for FleetSpec {
     fn default() -> Self {
+        let runner = RunnerSpec::default();
         FleetSpec {
             gateways: 2,
             readers: 1,
             writers: 2,
             plain: 2,
-            runner: RunnerSpec::default(),
+            runner,
             accounts: None,
             revoke: None,
         }
