--- a/crates/daemon/tests/soak/callers.rs
+++ b/crates/daemon/tests/soak/callers.rs
@@ -97,7 +97,7 @@
 fn check_answer(cluster: &Cluster, path: &str, attempt: &str, answer: &Answer, is_counted: bool) {
     let seed = cluster.plan.seed;
     match answer.status {
-        200 if answer.whole => {
+        200 if answer.complete => {
             assert!(
                 answer.header("server-stamp").is_some(),
                 "seed {seed}: {attempt} has no server-stamp"
--- a/crates/daemon/tests/soak/cluster.rs
+++ b/crates/daemon/tests/soak/cluster.rs
@@ -14,9 +14,11 @@
 use ebonyloft_platform::store::CONFIG_KEY;
 use ebonyloft_router::catalog::{Server, ServerId, Stage};
 use ebonyloft_standins::fleet::caller::Caller;
-use ebonyloft_standins::fleet::runner::{self, Runner, RunnerSpec};
+use ebonyloft_standins::fleet::runner::{self, BackendServer, BackendSpec};
 use ebonyloft_standins::fleet::store::{self, Store};
-use ebonyloft_standins::fleet::{CHECK, ENGINES, FleetSpec, ONCE_SUMMARY, PLAIN, SUMMARY, config};
+use ebonyloft_standins::fleet::{
+    CHECK, ENGINE_SERVICE, FleetSpec, ONCE_SUMMARY, PLAIN_SERVICE, SUMMARY, config,
+};
 use ebonyloft_standins::relay::{self, RelaySwitch};
 use rustix::process::{Pid, Signal, kill_process};
 
@@ -104,7 +106,7 @@
     pub account_checks: Cell<u32>,
     /// Names of servers that announce a rate limit now.
     pub limited_servers: RefCell<HashSet<String>>,
-    pub runners: Vec<(Rc<Runner>, RelaySwitch)>,
+    pub runners: Vec<(Rc<BackendServer>, RelaySwitch)>,
     pub gateways: Vec<Gateway>,
     pub expectations: RefCell<Expectations>,
     pub config_version: Cell<u64>,
@@ -175,18 +177,18 @@
             let host = 10 + i as u8;
             let server = Server {
                 id: ServerId::new(format!("i-{host}"), 0),
-                service: if stage.is_some() { ENGINES } else { PLAIN }.to_owned(),
+                service: if stage.is_some() { ENGINE_SERVICE } else { PLAIN_SERVICE }.to_owned(),
                 addr: (ip(host), 8_147).into(),
                 zone: "a".to_owned(),
                 slots: 12,
                 draining: false,
                 stage,
             };
-            let runner = Runner::start(server, RunnerSpec::default()).await;
+            let runner = BackendServer::start(server, BackendSpec::default()).await;
             let front: SocketAddr = (ip(host + 20), 8_147).into();
             let switch = start_relay(front, (ip(host), 8_147).into()).await;
             runner.server.borrow_mut().addr = front;
-            runner.keep_registered(&store);
+            runner.register_after_crash(&store);
             store.register(&runner.server.borrow());
             runners.push((runner, switch));
         }
@@ -223,7 +225,7 @@
     /// A caller of a gateway whose requests no quota limits.
     pub fn caller(&self, gateway: usize) -> Caller {
         let caller = Caller::new(self.address(gateway));
-        if self.plan.needs_keys() { caller.key(UNLIMITED_KEY) } else { caller }
+        if self.plan.needs_keys() { caller.with_key(UNLIMITED_KEY) } else { caller }
     }
 
     /// Address on which a gateway serves callers.
@@ -233,7 +235,7 @@
 
     /// How often an attempt ran, at all backend servers.
     pub fn runs(&self, attempt: &str) -> usize {
-        self.runners.iter().map(|(r, _)| r.runs(attempt)).sum()
+        self.runners.iter().map(|(r, _)| r.run_count(attempt)).sum()
     }
 
     /// Allows outdated server lists from now until the end of a fault and the settle time after it.
@@ -247,7 +249,7 @@
     /// was away.
     pub fn is_servable(&self, path: &str) -> bool {
         let stage = (path == SUMMARY || path == ONCE_SUMMARY).then_some(Stage::Decode);
-        let up = |r: &Runner| r.is_up() && r.server.borrow().stage == stage;
+        let up = |r: &BackendServer| r.is_up() && r.server.borrow().stage == stage;
         self.crash_contents.get() == 0
             || self.stale_until.get() < Instant::now() && self.runners.iter().any(|(r, _)| up(r))
     }
@@ -277,7 +279,7 @@
                         0 => caller.call(path, &attempt).await,
                         _ => caller.summary(path, &attempt).await,
                     };
-                    if result.as_ref().is_ok_and(|a| a.status == 200 && a.whole) {
+                    if result.as_ref().is_ok_and(|a| a.status == 200 && a.complete) {
                         break;
                     }
                     let seed = self.plan.seed;
@@ -297,8 +299,12 @@
     /// disconnected: it stops only at the deadline of the request.
     async fn check_idle(&self) {
         let end = Instant::now() + Duration::from_secs(15);
-        let remaining =
-            || self.runners.iter().map(|(r, _)| r.held() + r.running() as usize).sum::<usize>();
+        let remaining = || {
+            self.runners
+                .iter()
+                .map(|(r, _)| r.reservation_count() + r.running() as usize)
+                .sum::<usize>()
+        };
         while remaining() > 0 {
             assert!(
                 Instant::now() < end,
--- a/crates/daemon/tests/soak/faults.rs
+++ b/crates/daemon/tests/soak/faults.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use ebonyloft_standins::fleet::caller::Caller;
-use ebonyloft_standins::fleet::runner::{self, ENDS, Runner};
+use ebonyloft_standins::fleet::runner::{self, BackendServer, CRASH_PREFIX};
 use ebonyloft_standins::fleet::store;
 use ebonyloft_standins::fleet::{CHECK, LOOKUP, SUMMARY};
 use ebonyloft_standins::relay::RelaySwitch;
@@ -124,9 +124,9 @@
         14 => check_crashing_request(cluster, &format!("{seed:x}"), rng.random()).await,
         15 => check_announced_drain(cluster, runner).await,
         16 => {
-            runner.want_nothing(Some(&format!("{:.2}", duration.as_secs_f64())));
+            runner.set_back_off(Some(&format!("{:.2}", duration.as_secs_f64())));
             compio::time::sleep(duration).await;
-            runner.want_nothing(None);
+            runner.set_back_off(None);
         }
         18 => check_key_revocation(cluster, &format!("{seed:x}")).await,
         19 => check_quota(cluster, &format!("{seed:x}")).await,
@@ -144,7 +144,7 @@
 
 /// Every second gateway is cut off from the store, and a backend server begins to leave. After the
 /// bound it must get no more requests from any gateway. Later it returns.
-async fn check_drain_in_store(cluster: &Cluster, runner: &Runner) {
+async fn check_drain_in_store(cluster: &Cluster, runner: &BackendServer) {
     // One at a time per server: the end of another fault would register it as ready during this
     // check.
     if std::mem::replace(&mut runner.server.borrow_mut().draining, true) {
@@ -168,9 +168,9 @@
     cluster.store.register(&runner.server.borrow());
 }
 
-fn arrival_count(runner: &Runner) -> u64 {
-    let seen = runner.seen.borrow();
-    seen.reads + seen.arrivals.values().sum::<usize>() as u64
+fn arrival_count(runner: &BackendServer) -> u64 {
+    let seen = runner.observed.borrow();
+    seen.prefill_count + seen.arrivals.values().sum::<usize>() as u64
 }
 
 /// A request that crashes servers is sent through all gateways in turn. Once it crashed three
@@ -178,13 +178,13 @@
 async fn check_crashing_request(cluster: &Cluster, name: &str, summary: bool) {
     cluster.crash_contents.set(cluster.crash_contents.get() + 1);
     let path = if summary { SUMMARY } else { LOOKUP };
-    let body = format!("{ENDS}{name}");
+    let body = format!("{CRASH_PREFIX}{name}");
     for n in 0..CRASH_REQUESTS {
         let caller = Caller::new(cluster.address(n % cluster.gateways.len()));
         let (attempt, body) = (format!("ends-{name}-{n}"), body.clone());
         compio::runtime::spawn(async move {
             // The answer does not matter; the gateway process may be down.
-            let _ = caller.with_body(path, &attempt, body).await;
+            let _ = caller.send_body(path, &attempt, body).await;
         })
         .detach();
         compio::time::sleep(ms(120)).await;
@@ -192,11 +192,11 @@
     let times_of = |rows: &[(String, Instant)]| -> Vec<Instant> {
         rows.iter().filter(|(n, _)| n == name).map(|(_, at)| *at).collect()
     };
-    let seen = cluster.runners.iter().map(|(r, _)| r.seen.borrow());
+    let seen = cluster.runners.iter().map(|(r, _)| r.observed.borrow());
     let (mut crashes, mut arrivals) = (Vec::new(), Vec::new());
     for seen in seen {
-        crashes.extend(times_of(&seen.ended));
-        arrivals.extend(times_of(&seen.marked));
+        crashes.extend(times_of(&seen.crashes));
+        arrivals.extend(times_of(&seen.crash_arrivals));
     }
     crashes.sort();
     let bound = crashes.get(2).map(|third| *third + CONTACT_BOUND);
@@ -211,9 +211,9 @@
 
 /// A server announces in all its answers that it leaves, while its registration stays unchanged.
 /// After the bound it must get no more requests.
-async fn check_announced_drain(cluster: &Cluster, runner: &Rc<Runner>) {
+async fn check_announced_drain(cluster: &Cluster, runner: &Rc<BackendServer>) {
     let id = runner.server.borrow().id.clone();
-    runner.say_leaving();
+    runner.announce_leaving();
     compio::time::sleep(ms(500)).await;
     let announced_at = Instant::now();
     compio::time::sleep(LEAVING_BOUND).await;
@@ -221,13 +221,13 @@
     compio::time::sleep(ms(1_500)).await;
     let same_incarnation = runner.server.borrow().id == id;
     // Gateways learn of it only from an answer, so it must have got a request.
-    let was_announced = runner.seen.borrow().taken.iter().any(|at| *at < announced_at);
+    let was_announced = runner.observed.borrow().call_times.iter().any(|at| *at < announced_at);
     if same_incarnation && was_announced && cluster.stale_until.get() < announced_at {
         let (seed, late) = (cluster.plan.seed, arrival_count(runner) - before);
         assert_eq!(late, 0, "seed {seed}: requests to a server that had announced that it leaves");
         cluster.drains_checked.set(cluster.drains_checked.get() + 1);
     }
-    runner.stay();
+    runner.cancel_leaving();
     if same_incarnation {
         runner.crash("the end of a life");
     }
@@ -235,18 +235,18 @@
 
 /// A server announces a rate limit in all its answers. After the bound, by which the gateways must
 /// keep it, no more requests reach it than the limit allows.
-async fn check_rate_limit(cluster: &Cluster, runner: &Rc<Runner>, limit: u32) {
+async fn check_rate_limit(cluster: &Cluster, runner: &Rc<BackendServer>, limit: u32) {
     let id = runner.server.borrow().id.clone();
     // One at a time per server: the end of another check would end the announcement of this one.
     if !cluster.limited_servers.borrow_mut().insert(id.name.clone()) {
         return;
     }
-    runner.name_limit(Some(&limit.to_string()));
+    runner.announce_limit(Some(&limit.to_string()));
     compio::time::sleep(CONTACT_BOUND).await;
     let since = Instant::now();
     compio::time::sleep(LIMIT_WINDOW * 2).await;
     let arrivals: Vec<Instant> =
-        runner.seen.borrow().taken.iter().copied().filter(|at| *at >= since).collect();
+        runner.observed.borrow().call_times.iter().copied().filter(|at| *at >= since).collect();
     let count_from = |from: Instant| {
         arrivals.iter().filter(|at| **at >= from && **at < from + LIMIT_WINDOW).count()
     };
@@ -262,7 +262,7 @@
             "seed {seed}: {id} announced {limit} a second, got {most} in 4 s, allowed {allowed}"
         );
     }
-    runner.name_limit(None);
+    runner.announce_limit(None);
     cluster.limited_servers.borrow_mut().remove(&id.name);
 }
 
@@ -278,7 +278,7 @@
     let (mut late, mut n) = (Vec::new(), 0);
     while revoked_at.elapsed() < REVOKE_BOUND * 2 {
         n += 1;
-        let caller = Caller::new(cluster.address(n % cluster.gateways.len())).key(key);
+        let caller = Caller::new(cluster.address(n % cluster.gateways.len())).with_key(key);
         let attempt = format!("key-{key}-{n}");
         if revoked_at.elapsed() > REVOKE_BOUND {
             late.push(attempt.clone());
@@ -306,7 +306,7 @@
     let mut attempts = Vec::new();
     while started_at.elapsed() < FLOOD_TIME {
         let n = attempts.len();
-        let caller = Caller::new(cluster.address(n % cluster.gateways.len())).key(QUOTA_KEY);
+        let caller = Caller::new(cluster.address(n % cluster.gateways.len())).with_key(QUOTA_KEY);
         let attempt = format!("flood-{name}-{n}");
         attempts.push(attempt.clone());
         compio::runtime::spawn(async move {
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -26,15 +26,15 @@
 
 use self::caller::Caller;
 use self::peer::Peer;
-use self::runner::{Runner, RunnerSpec};
+use self::runner::{BackendServer, BackendSpec};
 use self::store::Store;
 
 /// Host name of all routes.
 pub const HOST: &str = "desk.example";
 /// Service of the model engines.
-pub const ENGINES: &str = "digest";
+pub const ENGINE_SERVICE: &str = "digest";
 /// The plain service.
-pub const PLAIN: &str = "gate";
+pub const PLAIN_SERVICE: &str = "gate";
 /// Path of summaries that are resumable.
 pub const SUMMARY: &str = "/summary/a";
 /// Path of summaries that run at most once.
@@ -49,7 +49,7 @@
 const CALLERS_PORT: u16 = 8_144;
 const READY_PORT: u16 = 8_140;
 /// Path prefix of checks that need no API key in a deployment with client accounts.
-pub const OPEN: &str = "/open/";
+pub const OPEN_PREFIX: &str = "/open/";
 const PEER_PORT: u16 = 7_660;
 const STORE_PORT: u16 = 8_142;
 const RUNNER_PORT: u16 = 8_147;
@@ -61,30 +61,30 @@
     /// Number of gateways.
     pub gateways: usize,
     /// Number of prefill engines.
-    pub readers: usize,
+    pub prefill_engines: usize,
     /// Number of decode engines.
-    pub writers: usize,
+    pub decode_engines: usize,
     /// Number of plain backend servers.
-    pub plain: usize,
+    pub plain_servers: usize,
     /// Capacity and timing of all backend servers.
-    pub runner: RunnerSpec,
+    pub runner: BackendSpec,
     /// Client accounts; without them callers need no API key.
     pub accounts: Option<Vec<AccountSpec>>,
     /// Time within which running work of a revoked API key must stop.
-    pub revoke: Option<Duration>,
+    pub revoke_bound: Option<Duration>,
 }
 
 impl Default for FleetSpec {
     fn default() -> Self {
-        let runner = RunnerSpec::default();
+        let runner = BackendSpec::default();
         FleetSpec {
             gateways: 2,
-            readers: 1,
-            writers: 2,
-            plain: 2,
+            prefill_engines: 1,
+            decode_engines: 2,
+            plain_servers: 2,
             runner,
             accounts: None,
-            revoke: None,
+            revoke_bound: None,
         }
     }
 }
@@ -102,7 +102,7 @@
     /// The metadata store.
     pub store: Rc<Store>,
     /// Backend servers: prefill engines, decode engines, then plain ones.
-    pub runners: Vec<Rc<Runner>>,
+    pub backends: Vec<Rc<BackendServer>>,
     /// Gateways in the order of their start.
     pub gateways: Vec<Gateway>,
     next_free_host: u8,
@@ -150,10 +150,10 @@
         let pid = std::process::id();
         let net = [1 + (pid >> 8 & 0x7f) as u8, (pid & 0xff) as u8];
         let store = Store::start(address(net, 1, STORE_PORT)).await;
-        let revoke = spec.revoke;
+        let revoke = spec.revoke_bound;
         let mut fleet = Fleet {
             store,
-            runners: Vec::new(),
+            backends: Vec::new(),
             gateways: Vec::new(),
             next_free_host: 2,
             net,
@@ -163,32 +163,36 @@
             Some(accounts) => fleet.set_accounts(1, accounts),
             None => fleet.configure(&config(1, spec)),
         }
-        for _ in 0..spec.readers {
-            fleet.add_runner(Some(Stage::Prefill), &spec.runner).await;
+        for _ in 0..spec.prefill_engines {
+            fleet.add_backend(Some(Stage::Prefill), &spec.runner).await;
         }
-        for _ in 0..spec.writers {
-            fleet.add_runner(Some(Stage::Decode), &spec.runner).await;
+        for _ in 0..spec.decode_engines {
+            fleet.add_backend(Some(Stage::Decode), &spec.runner).await;
         }
-        for _ in 0..spec.plain {
-            fleet.add_runner(None, &spec.runner).await;
+        for _ in 0..spec.plain_servers {
+            fleet.add_backend(None, &spec.runner).await;
         }
         fleet
     }
 
     /// Starts and registers a backend server in the default zone.
-    pub async fn add_runner(&mut self, stage: Option<Stage>, spec: &RunnerSpec) -> Rc<Runner> {
-        self.add_runner_in(ZONE, stage, spec).await
+    pub async fn add_backend(
+        &mut self,
+        stage: Option<Stage>,
+        spec: &BackendSpec,
+    ) -> Rc<BackendServer> {
+        self.add_backend_in(ZONE, stage, spec).await
     }
 
     /// Starts and registers a backend server.
-    pub async fn add_runner_in(
+    pub async fn add_backend_in(
         &mut self,
         zone: &str,
         stage: Option<Stage>,
-        spec: &RunnerSpec,
-    ) -> Rc<Runner> {
+        spec: &BackendSpec,
+    ) -> Rc<BackendServer> {
         let host = self.next_host();
-        let service = if stage.is_some() { ENGINES } else { PLAIN };
+        let service = if stage.is_some() { ENGINE_SERVICE } else { PLAIN_SERVICE };
         let server = Server {
             id: ServerId::new(format!("i-{host}"), 0),
             service: service.to_owned(),
@@ -198,10 +202,10 @@
             draining: false,
             stage,
         };
-        let backend = Runner::start(server, spec.clone()).await;
-        backend.keep_registered(&self.store);
+        let backend = BackendServer::start(server, spec.clone()).await;
+        backend.register_after_crash(&self.store);
         self.store.register(&backend.server.borrow());
-        self.runners.push(backend.clone());
+        self.backends.push(backend.clone());
         backend
     }
 
@@ -250,7 +254,7 @@
     }
 
     /// Returns whether a gateway has stopped.
-    pub fn ended(&mut self, gateway: usize) -> bool {
+    pub fn has_stopped(&mut self, gateway: usize) -> bool {
         matches!(self.gateways[gateway].done.try_recv(), Ok(Some(())))
     }
 
@@ -268,7 +272,7 @@
     pub fn set_accounts(&self, version: u64, accounts: &[AccountSpec]) {
         let mut config = config(version, &FleetSpec::default());
         let check = config.routes.iter().find(|r| r.name == "check").expect("a route").clone();
-        let (name, prefix) = ("open".to_owned(), OPEN.to_owned());
+        let (name, prefix) = ("open".to_owned(), OPEN_PREFIX.to_owned());
         config.routes.push(Route { name, prefix, public: true, ..check });
         self.store.put(CONFIG_KEY, &simulation::config_with_accounts(&config, accounts), 0);
     }
@@ -298,21 +302,21 @@
     }
 
     /// Returns how often an attempt ran, over all backend servers.
-    pub fn runs(&self, attempt: &str) -> usize {
-        self.runners.iter().map(|r| r.runs(attempt)).sum()
+    pub fn run_count(&self, attempt: &str) -> usize {
+        self.backends.iter().map(|r| r.run_count(attempt)).sum()
     }
 
     /// Returns the number of retries: arrivals beyond the first of each attempt, over all backend servers.
     /// The first prompt computed for an attempt does not count.
-    pub fn extra_arrivals(&self) -> usize {
+    pub fn retry_count(&self) -> usize {
         let mut arrivals: HashMap<String, usize> = HashMap::new();
         let mut computed: HashMap<String, usize> = HashMap::new();
-        for backend in &self.runners {
-            let seen = backend.seen.borrow();
+        for backend in &self.backends {
+            let seen = backend.observed.borrow();
             for (attempt, count) in seen.arrivals.iter().chain(&seen.lost_prefills) {
                 *arrivals.entry(attempt.clone()).or_default() += count;
             }
-            for (attempt, count) in &seen.prompts {
+            for (attempt, count) in &seen.prefills {
                 *computed.entry(attempt.clone()).or_default() += count;
             }
         }
@@ -378,7 +382,7 @@
         timeout: Duration::from_secs(14),
         goal: Duration::from_millis(900),
         priority: 1,
-        split: vec![Split { service: ENGINES.to_owned(), weight: 1 }],
+        split: vec![Split { service: ENGINE_SERVICE.to_owned(), weight: 1 }],
         attempts,
         resumable,
         public: false,
@@ -387,12 +391,12 @@
         kind,
         timeout: Duration::from_secs(1),
         goal: Duration::from_millis(150),
-        split: vec![Split { service: PLAIN.to_owned(), weight: 1 }],
+        split: vec![Split { service: PLAIN_SERVICE.to_owned(), weight: 1 }],
         ..stream(name, prefix, attempts, false)
     };
     let engine = Engine {
         slots: spec.runner.slots,
-        tokens: spec.runner.tokens,
+        tokens: spec.runner.memory_tokens,
         stride: 12,
         handle_life: Duration::from_millis(500),
         switch: Duration::from_secs(6),
@@ -407,8 +411,8 @@
             plain_call("lookup", "/lookup/", Kind::Idempotent, 2),
         ],
         services: vec![
-            Service { name: ENGINES.to_owned(), connections: 200, engine: Some(engine) },
-            Service { name: PLAIN.to_owned(), connections: 100, engine: None },
+            Service { name: ENGINE_SERVICE.to_owned(), connections: 200, engine: Some(engine) },
+            Service { name: PLAIN_SERVICE.to_owned(), connections: 100, engine: None },
         ],
         limits: Limits::default(),
         accounts: None,
--- a/crates/standins/src/fleet/caller.rs
+++ b/crates/standins/src/fleet/caller.rs
@@ -23,11 +23,11 @@
     /// The part of the body that arrived.
     pub body: Vec<u8>,
     /// The body arrived completely.
-    pub whole: bool,
+    pub complete: bool,
     /// Time from sending to the first byte of the body.
-    pub first: Duration,
+    pub first_byte: Duration,
     /// Time from sending to the end of the body or its break.
-    pub took: Duration,
+    pub total_time: Duration,
 }
 
 impl Answer {
@@ -59,14 +59,14 @@
     }
 
     /// Sets the timeout that is sent with summaries.
-    pub fn patience(mut self, timeout: Duration) -> Self {
+    pub fn with_timeout(mut self, timeout: Duration) -> Self {
         self.summary_timeout = timeout;
         self
     }
 
     /// Sets the API key that is sent with requests.
-    pub fn key(mut self, key: &str) -> Self {
-        self.key = Some(key.to_owned());
+    pub fn with_key(mut self, with_key: &str) -> Self {
+        self.key = Some(with_key.to_owned());
         self
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// Sends a summary or a short call, depending on the path, with this body.
-    pub async fn with_body(
+    pub async fn send_body(
         &self,
         path: &str,
         attempt: &str,
@@ -138,39 +138,39 @@
     /// Sends a request and reads the answer until it ends or breaks off.
     pub async fn send(&self, req: Request<Bytes>) -> Result<Answer, ExchangeError> {
         let sent = Instant::now();
-        let (response, conn) = self.begin(req).await?;
+        let (response, conn) = self.send_unread(req).await?;
         let (status, headers) = (response.status().as_u16(), response.headers().clone());
         let mut answer = Answer {
             status,
             headers,
             body: Vec::new(),
-            whole: false,
-            first: Duration::ZERO,
-            took: Duration::ZERO,
+            complete: false,
+            first_byte: Duration::ZERO,
+            total_time: Duration::ZERO,
         };
         let mut body = response.into_body();
         loop {
             match body.frame().await {
                 None => {
-                    answer.whole = true;
+                    answer.complete = true;
                     self.pool.put_back(conn);
                     break;
                 }
                 Some(Err(_)) => break,
                 Some(Ok(frame)) => {
                     if answer.body.is_empty() {
-                        answer.first = sent.elapsed();
+                        answer.first_byte = sent.elapsed();
                     }
                     answer.body.extend(frame.into_data().unwrap_or_default());
                 }
             }
         }
-        answer.took = sent.elapsed();
+        answer.total_time = sent.elapsed();
         Ok(answer)
     }
 
     /// Sends a request and returns the unread answer with its connection; dropping both disconnects.
-    pub async fn begin(
+    pub async fn send_unread(
         &self,
         req: Request<Bytes>,
     ) -> Result<(Response<Incoming>, Conn), ExchangeError> {
--- a/crates/standins/src/fleet/peer.rs
+++ b/crates/standins/src/fleet/peer.rs
@@ -64,14 +64,14 @@
     }
 
     /// Sets the configuration that it serves.
-    pub fn hear_config(&self, config: &Config) {
+    pub fn set_config(&self, config: &Config) {
         let mut state = self.state.borrow_mut();
         state.versions.config = config.version;
         state.config = Some(config.clone());
     }
 
     /// Adds a change of a backend server's registration at this revision.
-    pub fn hear_change(&self, name: &str, entry: Registration, revision: u64) {
+    pub fn add_change(&self, name: &str, entry: Registration, revision: u64) {
         let mut state = self.state.borrow_mut();
         state.versions.roster = revision;
         state.changes.push(Change { name: name.to_owned(), entry, revision });
@@ -79,12 +79,12 @@
 
     /// Sets the announced time until a missing registration counts as the backend server's removal, in
     /// milliseconds.
-    pub fn set_settles(&self, settle_ms: u32) {
+    pub fn set_settle_ms(&self, settle_ms: u32) {
         self.state.borrow_mut().settle_ms = settle_ms;
     }
 
     /// Sends gossip datagrams to a gateway until the process ends.
-    pub async fn tell(self: Rc<Self>, to: IpAddr) {
+    pub async fn send_gossip(self: Rc<Self>, to: IpAddr) {
         let socket = UdpSocket::bind(self.addr).await.expect("a free address");
         let to = SocketAddr::new(to, self.addr.port());
         for seq in 1.. {
--- a/crates/standins/src/fleet/runner.rs
+++ b/crates/standins/src/fleet/runner.rs
@@ -32,11 +32,11 @@
 
 /// Prefix of a request body that crashes a backend server soon after it starts to process it. The rest
 /// of the body names the content.
-pub const ENDS: &str = "ends servers: ";
+pub const CRASH_PREFIX: &str = "ends servers: ";
 /// Like [`ENDS`]; computing the prompt crashes a prefill engine as well.
-pub const ENDS_READERS: &str = "ends readers: ";
+pub const PREFILL_CRASH_PREFIX: &str = "ends readers: ";
 /// Like [`ENDS`], but the connections of the crashed server stay open and silent.
-pub const ENDS_DARK: &str = "ends servers in silence: ";
+pub const SILENT_CRASH_PREFIX: &str = "ends servers in silence: ";
 /// Downtime after a crash that leaves connections open.
 const SILENT_DOWNTIME: Duration = Duration::from_millis(2_500);
 /// Time from a crash until the registration expires.
@@ -44,19 +44,19 @@
 
 /// Capacity and timing of a backend server.
 #[derive(Clone, Debug)]
-pub struct RunnerSpec {
+pub struct BackendSpec {
     /// Requests processed concurrently.
     pub slots: u32,
     /// Tokens that fit into the KV cache.
-    pub tokens: u64,
+    pub memory_tokens: u64,
     /// Processing time of a short call.
-    pub call: Duration,
+    pub call_time: Duration,
     /// Time to compute a prompt.
-    pub read: Duration,
+    pub prefill_time: Duration,
     /// Interval between two events of a stream.
-    pub pace: Duration,
+    pub event_interval: Duration,
     /// Number of events of a summary.
-    pub events: u64,
+    pub event_count: u64,
     /// How long a computed prompt is kept.
     pub handle_ttl: Duration,
     /// Time from the start of a run until its content crashes the server.
@@ -65,15 +65,15 @@
     pub downtime: Duration,
 }
 
-impl Default for RunnerSpec {
+impl Default for BackendSpec {
     fn default() -> Self {
-        RunnerSpec {
+        BackendSpec {
             slots: 12,
-            tokens: 42_000,
-            call: Duration::from_millis(15),
-            read: Duration::from_millis(40),
-            pace: Duration::from_millis(10),
-            events: 20,
+            memory_tokens: 42_000,
+            call_time: Duration::from_millis(15),
+            prefill_time: Duration::from_millis(40),
+            event_interval: Duration::from_millis(10),
+            event_count: 20,
             handle_ttl: Duration::from_millis(500),
             crash_after: Duration::from_millis(70),
             downtime: Duration::from_millis(1_500),
@@ -115,38 +115,38 @@
     /// Arrivals by attempt: runs and rejections, without prefill requests.
     pub arrivals: HashMap<String, usize>,
     /// Prompts computed, by attempt.
-    pub prompts: HashMap<String, usize>,
+    pub prefills: HashMap<String, usize>,
     /// Prefill requests that were not computed, by attempt.
     pub lost_prefills: HashMap<String, usize>,
     /// Client accounts named by requests, prefill requests included, by attempt.
     pub accounts: HashMap<String, Vec<String>>,
     /// Requests that carried a client's API key; a gateway must never forward one.
-    pub keyed: u64,
+    pub key_leaks: u64,
     /// Prompts computed.
-    pub reads: u64,
+    pub prefill_count: u64,
     /// Runs whose client disconnected.
     pub cancelled: u64,
     /// Refused reservations.
-    pub refused: u64,
+    pub refused_holds: u64,
     /// Stage orders with their fencing tokens.
     pub orders: Vec<(Stage, u64)>,
     /// Arrivals of content that crashes servers, by its name, without prefill requests.
-    pub marked: Vec<(String, Instant)>,
+    pub crash_arrivals: Vec<(String, Instant)>,
     /// Crashes: the name of the content that caused it, and the time.
-    pub ended: Vec<(String, Instant)>,
+    pub crashes: Vec<(String, Instant)>,
     /// Times of all calls but releases of reservations and handles.
-    pub taken: Vec<Instant>,
+    pub call_times: Vec<Instant>,
     /// Times at which reservations and handles were released.
-    pub given_back: Vec<Instant>,
+    pub release_times: Vec<Instant>,
 }
 
 /// A running backend server.
-pub struct Runner {
+pub struct BackendServer {
     /// Its current registration.
     pub server: RefCell<Server>,
     /// Requests received so far.
-    pub seen: RefCell<Observed>,
-    spec: RunnerSpec,
+    pub observed: RefCell<Observed>,
+    spec: BackendSpec,
     /// Address that it listens on; its registration may name a relay in front of it.
     addr: SocketAddr,
     fault: Cell<Fault>,
@@ -172,14 +172,14 @@
     last_name: Cell<u64>,
 }
 
-impl Runner {
+impl BackendServer {
     /// Starts a backend server.
-    pub async fn start(server: Server, spec: RunnerSpec) -> Rc<Runner> {
+    pub async fn start(server: Server, spec: BackendSpec) -> Rc<BackendServer> {
         let addr = server.addr;
-        let backend = Rc::new(Runner {
+        let backend = Rc::new(BackendServer {
             server: RefCell::new(server),
             addr,
-            seen: RefCell::default(),
+            observed: RefCell::default(),
             spec,
             fault: Cell::default(),
             leaving: Cell::default(),
@@ -206,27 +206,27 @@
     }
 
     /// Makes the server register in `store` after each crash.
-    pub fn keep_registered(&self, store: &Rc<Store>) {
+    pub fn register_after_crash(&self, store: &Rc<Store>) {
         self.store.replace(Some(store.clone()));
     }
 
     /// Makes all answers announce that the server is leaving.
-    pub fn say_leaving(&self) {
+    pub fn announce_leaving(&self) {
         self.leaving.set(true);
     }
 
     /// Stops announcing that the server is leaving.
-    pub fn stay(&self) {
+    pub fn cancel_leaving(&self) {
         self.leaving.set(false);
     }
 
     /// Rejects work with this retry-after value, in seconds; `None` accepts work again.
-    pub fn want_nothing(&self, seconds: Option<&str>) {
+    pub fn set_back_off(&self, seconds: Option<&str>) {
         self.back_off.replace(seconds.map(str::to_owned));
     }
 
     /// Makes all answers announce this limit of requests a second; `None` stops that.
-    pub fn name_limit(&self, limit: Option<&str>) {
+    pub fn announce_limit(&self, limit: Option<&str>) {
         self.limit.replace(limit.map(str::to_owned));
     }
 
@@ -236,7 +236,7 @@
         if self.silent_crash.replace(true) {
             return;
         }
-        self.seen.borrow_mut().ended.push((content.to_owned(), Instant::now()));
+        self.observed.borrow_mut().crashes.push((content.to_owned(), Instant::now()));
         let me = self.clone();
         compio::runtime::spawn(async move {
             let store = me.store.borrow().clone();
@@ -259,7 +259,7 @@
         let Some(listener) = self.listener.take() else {
             return;
         };
-        self.seen.borrow_mut().ended.push((content.to_owned(), Instant::now()));
+        self.observed.borrow_mut().crashes.push((content.to_owned(), Instant::now()));
         let me = self.clone();
         // Dropped in another task, because the listener may own the task that runs now.
         compio::runtime::spawn(async move {
@@ -308,8 +308,8 @@
     }
 
     /// Returns how often an attempt ran on this server.
-    pub fn runs(&self, attempt: &str) -> usize {
-        self.seen.borrow().runs.get(attempt).copied().unwrap_or(0)
+    pub fn run_count(&self, attempt: &str) -> usize {
+        self.observed.borrow().runs.get(attempt).copied().unwrap_or(0)
     }
 
     /// Returns whether the server listens.
@@ -323,7 +323,7 @@
     }
 
     /// Returns the number of unexpired reservations and prompt handles.
-    pub fn held(&self) -> usize {
+    pub fn reservation_count(&self) -> usize {
         let now = Instant::now();
         let holds = self.holds.borrow().values().filter(|(_, until)| *until > now).count();
         let handles = self.handles.borrow().values().filter(|until| **until > now).count();
@@ -361,23 +361,23 @@
                 BackendCall::ReleaseReservation { .. } | BackendCall::ReleaseHandle { .. }
             )
         {
-            self.seen.borrow_mut().taken.push(Instant::now());
+            self.observed.borrow_mut().call_times.push(Instant::now());
         }
         match call {
             None => response(400, HeaderMap::new(), Vec::new()),
             Some(BackendCall::Reserve { tokens, ttl }) => self.reserve(tokens, ttl),
             Some(BackendCall::ReleaseReservation { hold }) => {
-                self.seen.borrow_mut().given_back.push(Instant::now());
+                self.observed.borrow_mut().release_times.push(Instant::now());
                 self.holds.borrow_mut().remove(&hold);
                 response(200, HeaderMap::new(), Vec::new())
             }
             Some(BackendCall::ReleaseHandle { handle }) => {
-                self.seen.borrow_mut().given_back.push(Instant::now());
+                self.observed.borrow_mut().release_times.push(Instant::now());
                 self.handles.borrow_mut().remove(&handle);
                 response(200, HeaderMap::new(), Vec::new())
             }
             Some(BackendCall::Order { stage, fence, .. }) => {
-                self.seen.borrow_mut().orders.push((stage, fence));
+                self.observed.borrow_mut().orders.push((stage, fence));
                 response(202, HeaderMap::new(), Vec::new())
             }
             Some(BackendCall::Work(work)) => self.admit(work, marker).await,
@@ -400,9 +400,10 @@
         }
         self.record_accounts(&work);
         if !work.prefill {
-            let mut seen = self.seen.borrow_mut();
+            let mut seen = self.observed.borrow_mut();
             *seen.arrivals.entry(work.attempt.clone()).or_default() += 1;
-            seen.marked.extend(marker.iter().map(|marker| (marker.name.clone(), Instant::now())));
+            seen.crash_arrivals
+                .extend(marker.iter().map(|marker| (marker.name.clone(), Instant::now())));
         }
         if self.fault.get() == Fault::Resets {
             self.record_lost_prefill(&work);
@@ -475,10 +476,10 @@
         holds.retain(|_, (_, until)| *until > now);
         let reserved: u64 = holds.values().map(|(t, _)| t).sum();
         let slots = holds.len() as u32 + self.running.get();
-        let full = reserved + self.used_tokens.get() + tokens > self.spec.tokens
+        let full = reserved + self.used_tokens.get() + tokens > self.spec.memory_tokens
             || slots >= self.spec.slots;
         if full || self.fault.get() == Fault::Full {
-            self.seen.borrow_mut().refused += 1;
+            self.observed.borrow_mut().refused_holds += 1;
             return response(503, HeaderMap::new(), Vec::new());
         }
         let name = self.next_name("hold");
@@ -488,11 +489,11 @@
 
     async fn compute_prompt(&self, work: BackendRequest) -> Response<Body> {
         let run = RunGuard::start(self, 0);
-        compio::time::sleep(self.spec.read).await;
+        compio::time::sleep(self.spec.prefill_time).await;
         run.finish();
-        let mut seen = self.seen.borrow_mut();
-        seen.reads += 1;
-        *seen.prompts.entry(work.attempt.clone()).or_default() += 1;
+        let mut seen = self.observed.borrow_mut();
+        seen.prefill_count += 1;
+        *seen.prefills.entry(work.attempt.clone()).or_default() += 1;
         drop(seen);
         let handle = self.next_name("handle");
         self.handles.borrow_mut().insert(handle.clone(), Instant::now() + self.spec.handle_ttl);
@@ -508,7 +509,7 @@
         let run = RunGuard::start(self, 0);
         match self.fault.get() {
             Fault::Hangs => std::future::pending::<()>().await,
-            _ => compio::time::sleep(self.spec.call).await,
+            _ => compio::time::sleep(self.spec.call_time).await,
         }
         run.finish();
         match self.fault.get() {
@@ -550,23 +551,23 @@
         let first = work.after.map_or(1, |a| a + 1);
         // A decode engine takes twice as long to compute a prompt itself.
         if work.kv_source.is_none() {
-            compio::time::sleep(self.spec.read * 2).await;
+            compio::time::sleep(self.spec.prefill_time * 2).await;
         }
-        for id in first..=self.spec.events {
-            compio::time::sleep(self.spec.pace).await;
+        for id in first..=self.spec.event_count {
+            compio::time::sleep(self.spec.event_interval).await;
             let event = format!("id: {id}\ndata: {} tokens {id}\n\n", work.attempt);
-            let past_half = id * 2 > self.spec.events + 1;
+            let past_half = id * 2 > self.spec.event_count + 1;
             let (data, is_break) = match self.fault.get() == Fault::Breaks && past_half {
                 // The break cuts an event in half.
                 true => (event.as_bytes()[..event.len() / 2].to_vec(), true),
                 false => (event.into_bytes(), false),
             };
             if out.send(Ok(Frame::data(Bytes::from(data)))).await.is_err() {
-                self.seen.borrow_mut().cancelled += 1;
+                self.observed.borrow_mut().cancelled += 1;
                 return run.finish();
             }
             if is_break {
-                compio::time::sleep(self.spec.pace).await;
+                compio::time::sleep(self.spec.event_interval).await;
                 // Fails only if the client has disconnected.
                 let _ = out.send(Err(BodyAborted)).await;
                 return run.finish();
@@ -583,20 +584,20 @@
     }
 
     fn record_accounts(&self, work: &BackendRequest) {
-        let mut seen = self.seen.borrow_mut();
-        seen.keyed += u64::from(work.has_key);
+        let mut seen = self.observed.borrow_mut();
+        seen.key_leaks += u64::from(work.has_key);
         seen.accounts.insert(work.attempt.clone(), work.accounts.clone());
     }
 
     fn record_lost_prefill(&self, work: &BackendRequest) {
         if work.prefill {
-            let mut seen = self.seen.borrow_mut();
+            let mut seen = self.observed.borrow_mut();
             *seen.lost_prefills.entry(work.attempt.clone()).or_default() += 1;
         }
     }
 
     fn record_run(&self, attempt: &str) {
-        *self.seen.borrow_mut().runs.entry(attempt.to_owned()).or_default() += 1;
+        *self.observed.borrow_mut().runs.entry(attempt.to_owned()).or_default() += 1;
     }
 
     fn next_name(&self, kind: &str) -> String {
@@ -620,20 +621,22 @@
         let text = std::str::from_utf8(body).ok()?;
         let named = |prefix| text.strip_prefix(prefix).map(|rest: &str| rest.trim_end().to_owned());
         let marker = |name, prefill_too, silent| CrashMarker { name, prefill_too, silent };
-        let on_run = named(ENDS).map(|name| marker(name, false, false));
-        let on_prefill = || named(ENDS_READERS).map(|name| marker(name, true, false));
-        on_run.or_else(on_prefill).or_else(|| Some(marker(named(ENDS_DARK)?, false, true)))
+        let on_run = named(CRASH_PREFIX).map(|name| marker(name, false, false));
+        let on_prefill = || named(PREFILL_CRASH_PREFIX).map(|name| marker(name, true, false));
+        on_run
+            .or_else(on_prefill)
+            .or_else(|| Some(marker(named(SILENT_CRASH_PREFIX)?, false, true)))
     }
 }
 
 /// Slot and memory of a running request, released on drop.
 struct RunGuard<'a> {
-    backend: &'a Runner,
+    backend: &'a BackendServer,
     tokens: u64,
 }
 
 impl<'a> RunGuard<'a> {
-    fn start(backend: &'a Runner, tokens: u64) -> Self {
+    fn start(backend: &'a BackendServer, tokens: u64) -> Self {
         backend.running.set(backend.running.get() + 1);
         backend.used_tokens.set(backend.used_tokens.get() + tokens);
         RunGuard { backend, tokens }
--- a/crates/standins/src/fleet/store.rs
+++ b/crates/standins/src/fleet/store.rs
@@ -85,12 +85,12 @@
     }
 
     /// Limits the bodies of later answers to `rate` bytes a second, as over a slow link.
-    pub fn set_rate(&self, rate: usize) {
+    pub fn limit_bandwidth(&self, rate: usize) {
         self.rate.set(Some(rate));
     }
 
     /// Returns the number of calls so far.
-    pub fn calls(&self) -> u64 {
+    pub fn call_count(&self) -> u64 {
         self.calls.get()
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// Removes the keys under a prefix and their history, so that watches see no removal.
-    pub fn hide(&self, prefix: &str) {
+    pub fn remove_silently(&self, prefix: &str) {
         let keys = self.keys(prefix);
         let mut state = self.state.borrow_mut();
         for key in keys {
--- a/crates/standins/tests/accounts.rs
+++ b/crates/standins/tests/accounts.rs
@@ -7,7 +7,7 @@
 use ebonyloft_standins::fleet::caller::Answer;
 use ebonyloft_standins::fleet::store::Fault;
 use ebonyloft_standins::fleet::{
-    CHECK, Fleet, FleetSpec, LOOKUP, OPEN, SUMMARY, eventually, with_fleet,
+    CHECK, Fleet, FleetSpec, LOOKUP, OPEN_PREFIX, SUMMARY, eventually, with_fleet,
 };
 use hyper::Request;
 use hyper::header::HeaderValue;
@@ -23,7 +23,7 @@
 
 fn spec(gateways: usize, accounts: Vec<AccountSpec>) -> FleetSpec {
     let (accounts, revoke) = (Some(accounts), Some(REVOKE_BOUND));
-    FleetSpec { gateways, accounts, revoke, ..FleetSpec::default() }
+    FleetSpec { gateways, accounts, revoke_bound: revoke, ..FleetSpec::default() }
 }
 
 fn two_accounts(gateways: usize) -> FleetSpec {
@@ -35,26 +35,26 @@
 }
 
 async fn call(fleet: &Fleet, gateway: usize, key: &str, attempt: &str) -> u16 {
-    let caller = fleet.caller(gateway).key(key);
+    let caller = fleet.caller(gateway).with_key(key);
     status(&caller.call(CHECK, attempt).await.expect("an answer"))
 }
 
 /// Account headers that backend servers received for an attempt.
 fn accounts_seen(fleet: &Fleet, attempt: &str) -> Vec<String> {
     let mut seen =
-        fleet.runners.iter().filter_map(|r| r.seen.borrow().accounts.get(attempt).cloned());
+        fleet.backends.iter().filter_map(|r| r.observed.borrow().accounts.get(attempt).cloned());
     seen.next_back().unwrap_or_default()
 }
 
 /// Requests in which a backend server saw a key.
 fn leaked_keys(fleet: &Fleet) -> u64 {
-    fleet.runners.iter().map(|r| r.seen.borrow().keyed).sum()
+    fleet.backends.iter().map(|r| r.observed.borrow().key_leaks).sum()
 }
 
 #[test]
 fn a_backend_server_receives_the_account_and_never_the_key() {
     with_fleet(two_accounts(1), async |fleet| {
-        let caller = fleet.caller(0).key("k1");
+        let caller = fleet.caller(0).with_key("k1");
         assert_eq!(status(&caller.call(CHECK, "c1").await.expect("an answer")), 200);
         assert_eq!(status(&caller.summary(SUMMARY, "s1").await.expect("an answer")), 200);
         assert_eq!(call(fleet, 0, "k3", "c2").await, 200);
@@ -68,14 +68,14 @@
 #[test]
 fn an_account_header_from_a_caller_is_ignored() {
     with_fleet(two_accounts(1), async |fleet| {
-        let caller = fleet.caller(0).key("k1");
+        let caller = fleet.caller(0).with_key("k1");
         let mut req = caller.summary_request(SUMMARY, "s1");
         req.headers_mut().append("tenant", HeaderValue::from_static("two"));
         req.headers_mut().append("TENANT", HeaderValue::from_static("three"));
         assert_eq!(status(&caller.send(req).await.expect("an answer")), 200);
         assert_eq!(accounts_seen(fleet, "s1"), ["one"]);
         let caller = fleet.caller(0);
-        let mut req = check_request(&caller, OPEN, "o1");
+        let mut req = check_request(&caller, OPEN_PREFIX, "o1");
         req.headers_mut().append("tenant", HeaderValue::from_static("two"));
         assert_eq!(status(&caller.send(req).await.expect("an answer")), 200);
         assert!(accounts_seen(fleet, "o1").is_empty());
@@ -113,7 +113,7 @@
             assert_eq!(status(&plain.send(req).await.expect("an answer")), 401, "{attempt}");
         }
         for n in 1..=7 {
-            assert_eq!(fleet.runs(&format!("c{n}")), 0);
+            assert_eq!(fleet.run_count(&format!("c{n}")), 0);
         }
     });
 }
@@ -121,9 +121,9 @@
 #[test]
 fn a_public_route_needs_no_key() {
     with_fleet(two_accounts(1), async |fleet| {
-        assert_eq!(status(&fleet.caller(0).call(OPEN, "o1").await.expect("an answer")), 200);
-        let unknown_key = fleet.caller(0).key("k9");
-        assert_eq!(status(&unknown_key.call(OPEN, "o2").await.expect("an answer")), 200);
+        assert_eq!(status(&fleet.caller(0).call(OPEN_PREFIX, "o1").await.expect("an answer")), 200);
+        let unknown_key = fleet.caller(0).with_key("k9");
+        assert_eq!(status(&unknown_key.call(OPEN_PREFIX, "o2").await.expect("an answer")), 200);
         assert_eq!(leaked_keys(fleet), 0);
         assert!(accounts_seen(fleet, "o2").is_empty());
     });
@@ -157,7 +157,7 @@
                 let start = Instant::now();
                 let attempt = format!("c{n}");
                 let status = call(fleet, n % 2, "k1", &attempt).await;
-                if fleet.runs(&attempt) > 0 {
+                if fleet.run_count(&attempt) > 0 {
                     last = Some(start - cut_at);
                 } else {
                     assert!(matches!(status, 503 | 401), "{status}");
@@ -168,7 +168,7 @@
                 compio::time::sleep(Duration::from_millis(40)).await;
             }
             assert!(last.is_none_or(|at| at < REVOKE_BOUND), "ran {last:?} after the revocation");
-            let public = fleet.caller(0).call(OPEN, "o1").await.expect("an answer");
+            let public = fleet.caller(0).call(OPEN_PREFIX, "o1").await.expect("an answer");
             assert_eq!(public.status, 200);
             assert_eq!(call(fleet, 0, "k2", "c-late").await, 503);
             fleet.store.set_fault(Fault::None);
@@ -191,7 +191,7 @@
         .iter()
         .enumerate()
         .map(|(i, &gateway)| {
-            let caller = fleet.caller(gateway).key(key);
+            let caller = fleet.caller(gateway).with_key(key);
             compio::runtime::spawn(async move {
                 let mut refused = Vec::new();
                 let mut ran = 0;
@@ -232,7 +232,7 @@
         assert!(!refused.is_empty());
         for answer in &refused {
             assert_eq!(answer.status, 429);
-            assert!(answer.took < Duration::from_millis(100), "{:?}", answer.took);
+            assert!(answer.total_time < Duration::from_millis(100), "{:?}", answer.total_time);
             let retry_after: f64 =
                 answer.header("retry-after").expect("a time").parse().expect("seconds");
             assert!(retry_after > 0.0);
@@ -270,14 +270,14 @@
 #[test]
 fn a_request_that_did_not_run_is_not_charged() {
     let accounts = vec![account("one", &["k1"], Some((200, 2_000)))];
-    with_fleet(FleetSpec { plain: 1, ..spec(1, accounts) }, async |fleet| {
+    with_fleet(FleetSpec { plain_servers: 1, ..spec(1, accounts) }, async |fleet| {
         compio::time::sleep(10 * SECOND).await;
-        let plain = fleet.runners.last().expect("a server").clone();
-        plain.want_nothing(Some("0"));
+        let plain = fleet.backends.last().expect("a server").clone();
+        plain.set_back_off(Some("0"));
         for n in 0..5 {
             assert_eq!(call(fleet, 0, "k1", &format!("c{n}")).await, 503);
         }
-        plain.want_nothing(None);
+        plain.set_back_off(None);
         for n in 5..12 {
             assert_eq!(call(fleet, 0, "k1", &format!("c{n}")).await, 200, "c{n}");
         }
@@ -288,7 +288,7 @@
 fn an_invalid_token_count_is_refused() {
     let accounts = vec![account("one", &["k1"], Some((1_000_000, 1_000_000)))];
     with_fleet(spec(1, accounts), async |fleet| {
-        let caller = fleet.caller(0).key("k1");
+        let caller = fleet.caller(0).with_key("k1");
         for (n, count) in
             ["x,3", "-4,10", "12", "1,2,3", "9223372036854775808,1", ""].iter().enumerate()
         {
@@ -311,7 +311,7 @@
         for gateway in 0..3 {
             fleet.stop(gateway);
         }
-        let ended = eventually(10 * SECOND, || fleet.ended(0)).await;
+        let ended = eventually(10 * SECOND, || fleet.has_stopped(0)).await;
         assert!(ended);
         compio::time::sleep(2 * SECOND).await;
         assert_eq!(call(fleet, 3, "k1", "c1").await, 200);
--- a/crates/standins/tests/answers.rs
+++ b/crates/standins/tests/answers.rs
@@ -27,8 +27,8 @@
 
 /// Requests, prompts and reservations that a server received after the given time.
 fn taken_after(fleet: &Fleet, backend: usize, after: Instant) -> usize {
-    let seen = fleet.runners[backend].seen.borrow();
-    seen.taken.iter().filter(|at| **at > after).count()
+    let seen = fleet.backends[backend].observed.borrow();
+    seen.call_times.iter().filter(|at| **at > after).count()
 }
 
 /// Guards against a gateway that ignores the announcement in a response and goes by its server registry alone.
@@ -38,12 +38,18 @@
 /// that announced the leaving. Both calls ran; later ones would have been cut off.
 #[test]
 fn a_server_that_announces_leaving_in_a_response_gets_no_more_requests() {
-    let spec = FleetSpec { gateways: 1, readers: 2, writers: 3, plain: 3, ..FleetSpec::default() };
+    let spec = FleetSpec {
+        gateways: 1,
+        prefill_engines: 2,
+        decode_engines: 3,
+        plain_servers: 3,
+        ..FleetSpec::default()
+    };
     with_fleet(spec, async |fleet| {
         fleet.store.set_fault(store::Fault::Silent);
         // A prefill engine, a decode engine and a plain server.
         let leaving = [0, 2, 5];
-        leaving.iter().for_each(|n| fleet.runners[*n].say_leaving());
+        leaving.iter().for_each(|n| fleet.backends[*n].announce_leaving());
         send_all_kinds(fleet, "before", 6).await;
         let announced_at = Instant::now();
         compio::time::sleep(LEAVING_BOUND).await;
@@ -57,17 +63,26 @@
 /// The announcement counts in any response, also in one to a reservation.
 #[test]
 fn an_engine_that_announces_leaving_in_a_reservation_response_gets_no_more_requests() {
-    let spec = FleetSpec { gateways: 1, readers: 1, writers: 2, plain: 1, ..FleetSpec::default() };
+    let spec = FleetSpec {
+        gateways: 1,
+        prefill_engines: 1,
+        decode_engines: 2,
+        plain_servers: 1,
+        ..FleetSpec::default()
+    };
     with_fleet(spec, async |fleet| {
         fleet.store.set_fault(store::Fault::Silent);
-        let engine = &fleet.runners[1];
+        let engine = &fleet.backends[1];
         engine.set_fault(Fault::Full);
-        engine.say_leaving();
+        engine.announce_leaving();
         send_all_kinds(fleet, "before", 6).await;
         let announced_at = Instant::now();
         engine.set_fault(Fault::None);
         send_all_kinds(fleet, "after", 6).await;
-        assert!(engine.seen.borrow().refused > 0, "the engine was never asked for a reservation");
+        assert!(
+            engine.observed.borrow().refused_holds > 0,
+            "the engine was never asked for a reservation"
+        );
         assert_eq!(taken_after(fleet, 1, announced_at), 0, "the engine was asked again");
     });
 }
@@ -75,17 +90,24 @@
 /// A gateway that learns of the leaving from a response passes it on to the other gateways.
 #[test]
 fn a_leaving_announced_to_one_gateway_reaches_all_gateways() {
-    let spec = FleetSpec { gateways: 3, readers: 1, writers: 1, plain: 2, ..FleetSpec::default() };
+    let spec = FleetSpec {
+        gateways: 3,
+        prefill_engines: 1,
+        decode_engines: 1,
+        plain_servers: 2,
+        ..FleetSpec::default()
+    };
     with_fleet(spec, async |fleet| {
         compio::time::sleep(LEAVING_BOUND / 2).await;
         fleet.store.set_fault(store::Fault::Silent);
         // The first gateway sends its next call to the server that it already knows.
         let _ = fleet.caller(0).call(CHECK, "first").await;
-        let known = if fleet.runs("first") == fleet.runners[2].runs("first") { 2 } else { 3 };
-        fleet.runners[known].say_leaving();
+        let known =
+            if fleet.run_count("first") == fleet.backends[2].run_count("first") { 2 } else { 3 };
+        fleet.backends[known].announce_leaving();
         let _ = fleet.caller(0).call(CHECK, "second").await;
         assert_eq!(
-            fleet.runners[known].runs("second"),
+            fleet.backends[known].run_count("second"),
             1,
             "the first gateway did not receive the announcement"
         );
@@ -103,14 +125,20 @@
 /// The announcement ends with the incarnation that made it: the next one at the same address is used.
 #[test]
 fn the_next_incarnation_of_a_leaving_server_is_used() {
-    let spec = FleetSpec { gateways: 2, readers: 1, writers: 1, plain: 1, ..FleetSpec::default() };
+    let spec = FleetSpec {
+        gateways: 2,
+        prefill_engines: 1,
+        decode_engines: 1,
+        plain_servers: 1,
+        ..FleetSpec::default()
+    };
     with_fleet(spec, async |fleet| {
-        let plain = fleet.runners[2].clone();
-        plain.say_leaving();
+        let plain = fleet.backends[2].clone();
+        plain.announce_leaving();
         send_all_kinds(fleet, "before", 1).await;
         let answer = fleet.caller(0).call(CHECK, "refused").await.expect("an answer");
         assert_eq!(answer.status, 503);
-        plain.stay();
+        plain.cancel_leaving();
         plain.crash("restart");
         compio::time::sleep(LEAVING_BOUND).await;
         for gateway in 0..2 {
@@ -127,9 +155,15 @@
 /// server for the next request as if it had given no back-off.
 #[test]
 fn a_server_in_back_off_gets_no_requests() {
-    let spec = FleetSpec { gateways: 1, readers: 1, writers: 1, plain: 1, ..FleetSpec::default() };
+    let spec = FleetSpec {
+        gateways: 1,
+        prefill_engines: 1,
+        decode_engines: 1,
+        plain_servers: 1,
+        ..FleetSpec::default()
+    };
     with_fleet(spec, async |fleet| {
-        fleet.runners.iter().for_each(|r| r.want_nothing(Some("5")));
+        fleet.backends.iter().for_each(|r| r.set_back_off(Some("5")));
         send_all_kinds(fleet, "before", 1).await;
         compio::time::sleep(LEAVING_BOUND / 4).await;
         let start = Instant::now();
@@ -148,7 +182,7 @@
             }
             compio::time::sleep(LEAVING_BOUND / 40).await;
         }
-        for backend in 0..fleet.runners.len() {
+        for backend in 0..fleet.backends.len() {
             let sent = taken_after(fleet, backend, start);
             println!("server {backend}: {sent}");
             assert!(sent <= 2, "server {backend} received {sent} requests");
@@ -160,11 +194,17 @@
 /// with the earliest time at which a server accepts requests again.
 #[test]
 fn a_request_that_no_server_accepts_in_time_gets_the_earliest_retry_after() {
-    let spec = FleetSpec { gateways: 1, readers: 1, writers: 1, plain: 2, ..FleetSpec::default() };
+    let spec = FleetSpec {
+        gateways: 1,
+        prefill_engines: 1,
+        decode_engines: 1,
+        plain_servers: 2,
+        ..FleetSpec::default()
+    };
     with_fleet(spec, async |fleet| {
-        fleet.runners[1].want_nothing(Some("7"));
-        fleet.runners[2].want_nothing(Some("9"));
-        fleet.runners[3].want_nothing(Some("5"));
+        fleet.backends[1].set_back_off(Some("7"));
+        fleet.backends[2].set_back_off(Some("9"));
+        fleet.backends[3].set_back_off(Some("5"));
         send_all_kinds(fleet, "before", 1).await;
         for (path, longest) in [(CHECK, 5.0), (LOOKUP, 5.0), (SUMMARY, 7.0)] {
             let caller = fleet.caller(0);
@@ -173,8 +213,12 @@
                 _ => caller.call(path, path).await,
             };
             let answer = answer.expect("an answer");
-            assert_eq!((answer.status, fleet.runs(path)), (503, 0), "{path}");
-            assert!(answer.took < Duration::from_millis(50), "{path}: {:?}", answer.took);
+            assert_eq!((answer.status, fleet.run_count(path)), (503, 0), "{path}");
+            assert!(
+                answer.total_time < Duration::from_millis(50),
+                "{path}: {:?}",
+                answer.total_time
+            );
             let wait: f64 = answer.header("retry-after").expect("a time").parse().expect("seconds");
             assert!(wait <= longest && wait > longest - 4.0, "{path}: {wait} of {longest}");
         }
@@ -184,14 +228,20 @@
 /// The gateway waits for a back-off that ends within the latency goal; it applies to its own server only.
 #[test]
 fn a_short_back_off_is_waited_for_and_other_servers_are_used() {
-    let spec = FleetSpec { gateways: 1, readers: 1, writers: 2, plain: 1, ..FleetSpec::default() };
+    let spec = FleetSpec {
+        gateways: 1,
+        prefill_engines: 1,
+        decode_engines: 2,
+        plain_servers: 1,
+        ..FleetSpec::default()
+    };
     with_fleet(spec, async |fleet| {
-        fleet.runners[3].want_nothing(Some("0.1"));
+        fleet.backends[3].set_back_off(Some("0.1"));
         let _ = fleet.caller(0).call(CHECK, "before").await;
-        fleet.runners[3].want_nothing(None);
+        fleet.backends[3].set_back_off(None);
         let answer = fleet.caller(0).call(CHECK, "after").await.expect("an answer");
         assert_eq!(answer.status, 200);
-        fleet.runners[1].want_nothing(Some("60"));
+        fleet.backends[1].set_back_off(Some("60"));
         for n in 0..8 {
             let answer = fleet.caller(0).summary(SUMMARY, &format!("s{n}")).await;
             assert_eq!(answer.expect("an answer").status, 200, "{n}");
@@ -202,13 +252,19 @@
 /// An invalid back-off time causes neither a long back-off nor a failure.
 #[test]
 fn an_invalid_back_off_time_is_ignored() {
-    let spec = FleetSpec { gateways: 1, readers: 1, writers: 1, plain: 1, ..FleetSpec::default() };
+    let spec = FleetSpec {
+        gateways: 1,
+        prefill_engines: 1,
+        decode_engines: 1,
+        plain_servers: 1,
+        ..FleetSpec::default()
+    };
     with_fleet(spec, async |fleet| {
         for (n, text) in ["-3", "NaN", "soon", "1e400", ""].into_iter().enumerate() {
-            fleet.runners[2].want_nothing(Some(text));
+            fleet.backends[2].set_back_off(Some(text));
             let answer = fleet.caller(0).call(CHECK, &format!("n{n}")).await.expect("an answer");
             assert_eq!(answer.status, 503, "{text}");
-            fleet.runners[2].want_nothing(None);
+            fleet.backends[2].set_back_off(None);
             compio::time::sleep(Duration::from_millis(1_100)).await;
             let answer = fleet.caller(0).call(CHECK, &format!("a{n}")).await.expect("an answer");
             assert_eq!(answer.status, 200, "{text}");
--- a/crates/standins/tests/budget.rs
+++ b/crates/standins/tests/budget.rs
@@ -20,7 +20,7 @@
         let path = [SUMMARY, ONCE_SUMMARY][n / fleet.gateways.len() % 2];
         tasks.push(compio::runtime::spawn(async move {
             let answer = caller.summary(path, &format!("s{n}")).await.expect("an answer");
-            usize::from(answer.status == 200 && answer.whole)
+            usize::from(answer.status == 200 && answer.complete)
         }));
         compio::time::sleep(SEND_INTERVAL).await;
     }
@@ -38,12 +38,13 @@
 /// A prompt that an engine does not accept counts as an arrival, also the first of a request.
 #[test]
 fn lost_prompts_stay_within_the_retry_budget() {
-    let spec = FleetSpec { gateways: 3, readers: 24, writers: 4, ..FleetSpec::default() };
+    let spec =
+        FleetSpec { gateways: 3, prefill_engines: 24, decode_engines: 4, ..FleetSpec::default() };
     with_fleet(spec, async |fleet| {
-        fleet.runners[..24].iter().for_each(|r| r.set_fault(Fault::Resets));
+        fleet.backends[..24].iter().for_each(|r| r.set_fault(Fault::Resets));
         let count = 150;
         let complete = send_summaries(fleet, count).await;
-        let retries = fleet.extra_arrivals();
+        let retries = fleet.retry_count();
         println!("{retries} retries, {complete} of {count} complete");
         assert!(retries <= retry_limit(count), "{retries} retries, {} allowed", retry_limit(count));
         assert!(complete >= count * 9 / 10, "{complete} of {count} complete");
--- a/crates/standins/tests/crashing.rs
+++ b/crates/standins/tests/crashing.rs
@@ -2,7 +2,9 @@
 
 use std::time::{Duration, Instant};
 
-use ebonyloft_standins::fleet::runner::{ENDS, ENDS_DARK, ENDS_READERS, Fault, RunnerSpec};
+use ebonyloft_standins::fleet::runner::{
+    BackendSpec, CRASH_PREFIX, Fault, PREFILL_CRASH_PREFIX, SILENT_CRASH_PREFIX,
+};
 use ebonyloft_standins::fleet::{
     Fleet, FleetSpec, LOOKUP, ONCE_SUMMARY, SUMMARY, store, with_fleet,
 };
@@ -25,7 +27,8 @@
     duration: Duration,
     pause: Duration,
 ) {
-    send_body_repeatedly(fleet, path, name, &format!("{ENDS}{name}"), duration, pause).await;
+    send_body_repeatedly(fleet, path, name, &format!("{CRASH_PREFIX}{name}"), duration, pause)
+        .await;
 }
 
 async fn send_body_repeatedly(
@@ -43,7 +46,7 @@
         let body = body.to_owned();
         compio::runtime::spawn(async move {
             // The answer does not matter: the test reads what the servers recorded.
-            let _ = caller.with_body(&path, &attempt, body).await;
+            let _ = caller.send_body(&path, &attempt, body).await;
         })
         .detach();
         n += 1;
@@ -53,11 +56,12 @@
 
 /// Returns how many servers the request crashed, and how often it reached a server later than allowed.
 fn crash_counts(fleet: &Fleet, name: &str) -> (usize, usize) {
-    let seen = fleet.runners.iter().map(|r| r.seen.borrow().clone());
+    let seen = fleet.backends.iter().map(|r| r.observed.borrow().clone());
     let (mut crashes, mut arrivals) = (Vec::new(), Vec::new());
     for seen in seen {
-        crashes.extend(seen.ended.into_iter().filter(|(n, _)| n == name).map(|(_, at)| at));
-        arrivals.extend(seen.marked.into_iter().filter(|(n, _)| n == name).map(|(_, at)| at));
+        crashes.extend(seen.crashes.into_iter().filter(|(n, _)| n == name).map(|(_, at)| at));
+        arrivals
+            .extend(seen.crash_arrivals.into_iter().filter(|(n, _)| n == name).map(|(_, at)| at));
     }
     crashes.sort();
     let limit_reached_at = crashes.get(CRASH_LIMIT - 1);
@@ -68,8 +72,15 @@
 }
 
 fn spec(gateways: usize) -> FleetSpec {
-    let runner = RunnerSpec::default();
-    FleetSpec { gateways, readers: 2, writers: 6, plain: 4, runner, ..FleetSpec::default() }
+    let runner = BackendSpec::default();
+    FleetSpec {
+        gateways,
+        prefill_engines: 2,
+        decode_engines: 6,
+        plain_servers: 4,
+        runner,
+        ..FleetSpec::default()
+    }
 }
 
 /// Guards against gateways that forget what a request did to an engine together with the attempt.
@@ -118,9 +129,9 @@
 /// Processing the prompt is enough to crash a prefill engine.
 #[test]
 fn a_prompt_that_crashed_three_prefill_engines_reaches_no_others() {
-    let spec = FleetSpec { readers: 4, ..spec(2) };
+    let spec = FleetSpec { prefill_engines: 4, ..spec(2) };
     with_fleet(spec, async |fleet| {
-        let body = format!("{ENDS_READERS}a");
+        let body = format!("{PREFILL_CRASH_PREFIX}a");
         send_body_repeatedly(fleet, SUMMARY, "a", &body, Duration::from_secs(8), SEND_INTERVAL)
             .await;
         let (crashes, late) = crash_counts(fleet, "a");
@@ -141,8 +152,8 @@
             for n in 0..24 {
                 let caller = fleet.caller(n % 2);
                 let (attempt, body) = (format!("b{n}"), format!("other {n}"));
-                let answer = caller.with_body(SUMMARY, &attempt, body).await.expect("an answer");
-                complete += usize::from(answer.status == 200 && answer.whole);
+                let answer = caller.send_body(SUMMARY, &attempt, body).await.expect("an answer");
+                complete += usize::from(answer.status == 200 && answer.complete);
             }
             complete
         };
@@ -151,7 +162,7 @@
         assert!(complete >= 22, "{complete} of 24 complete while other requests crashed engines");
         for n in 0..24 {
             let (attempt, body) = (format!("again{n}"), format!("other {n}"));
-            let answer = fleet.caller(n % 2).with_body(SUMMARY, &attempt, body).await;
+            let answer = fleet.caller(n % 2).send_body(SUMMARY, &attempt, body).await;
             assert_eq!(answer.expect("an answer").status, 200, "{n}");
         }
     });
@@ -182,7 +193,7 @@
             while Instant::now() < end {
                 n += 1;
                 let (caller, attempt) = (fleet.caller(n % 2), format!("q{n}"));
-                let answer = caller.with_body(LOOKUP, &attempt, "same".into()).await;
+                let answer = caller.send_body(LOOKUP, &attempt, "same".into()).await;
                 let answer = answer.expect("an answer");
                 let text = String::from_utf8_lossy(&answer.body).into_owned();
                 quarantined += usize::from(text.contains("quarantined"));
@@ -198,27 +209,27 @@
 /// A server that loses every answer to a request has not crashed under it.
 #[test]
 fn lost_answers_do_not_count_as_crashes() {
-    let spec = FleetSpec { gateways: 2, plain: 4, ..spec(2) };
+    let spec = FleetSpec { gateways: 2, plain_servers: 4, ..spec(2) };
     with_fleet(spec, async |fleet| {
-        let set_fault = |fault| fleet.runners.iter().for_each(|r| r.set_fault(fault));
+        let set_fault = |fault| fleet.backends.iter().for_each(|r| r.set_fault(fault));
         set_fault(Fault::Breaks);
         for n in 0..6 {
             let caller = fleet.caller(n % 2);
-            let _ = caller.with_body(SUMMARY, &format!("s{n}"), "same".into()).await;
+            let _ = caller.send_body(SUMMARY, &format!("s{n}"), "same".into()).await;
         }
         set_fault(Fault::Loses);
         for n in 0..6 {
             let caller = fleet.caller(n % 2);
-            let _ = caller.with_body(LOOKUP, &format!("l{n}"), "same".into()).await;
+            let _ = caller.send_body(LOOKUP, &format!("l{n}"), "same".into()).await;
             compio::time::sleep(SEND_INTERVAL).await;
         }
         set_fault(Fault::None);
         compio::time::sleep(SEND_INTERVAL * 4).await;
         for path in [SUMMARY, LOOKUP] {
             for n in 0..2 {
-                let answer = fleet.caller(n).with_body(path, &format!("z{n}"), "same".into()).await;
+                let answer = fleet.caller(n).send_body(path, &format!("z{n}"), "same".into()).await;
                 let answer = answer.expect("an answer");
-                assert_eq!((answer.status, answer.whole), (200, true), "{path} at {n}");
+                assert_eq!((answer.status, answer.complete), (200, true), "{path} at {n}");
             }
         }
     });
@@ -228,19 +239,19 @@
 #[test]
 fn a_repeat_of_a_broken_stream_is_delayed_briefly_at_most() {
     with_fleet(spec(1), async |fleet| {
-        let decode_engines = || fleet.runners.iter().skip(2).take(6);
+        let decode_engines = || fleet.backends.iter().skip(2).take(6);
         for n in 0..5 {
             let body = format!("story {n}");
             decode_engines().for_each(|r| r.set_fault(Fault::Breaks));
             let caller = fleet.caller(0);
-            let first = caller.with_body(ONCE_SUMMARY, &format!("f{n}"), body.clone()).await;
-            assert!(!first.expect("an answer").whole);
+            let first = caller.send_body(ONCE_SUMMARY, &format!("f{n}"), body.clone()).await;
+            assert!(!first.expect("an answer").complete);
             decode_engines().for_each(|r| r.set_fault(Fault::None));
-            let again = caller.with_body(ONCE_SUMMARY, &format!("g{n}"), body).await;
+            let again = caller.send_body(ONCE_SUMMARY, &format!("g{n}"), body).await;
             let again = again.expect("an answer");
-            assert_eq!((again.status, again.whole), (200, true), "{n}");
+            assert_eq!((again.status, again.complete), (200, true), "{n}");
             // The run itself takes 250 ms.
-            assert!(again.took < Duration::from_millis(700), "{n}: {:?}", again.took);
+            assert!(again.total_time < Duration::from_millis(700), "{n}: {:?}", again.total_time);
         }
     });
 }
@@ -251,7 +262,7 @@
     with_fleet(spec(2), async |fleet| {
         send_repeatedly(fleet, SUMMARY, "a", Duration::from_secs(4), SEND_INTERVAL).await;
         // The store must not be the source.
-        fleet.store.hide("ebonyloft/quarantine/");
+        fleet.store.remove_silently("ebonyloft/quarantine/");
         fleet.add_gateway();
         fleet.wait_ready(2).await;
         compio::time::sleep(Duration::from_secs(1)).await;
@@ -281,10 +292,10 @@
 #[test]
 fn two_crashes_outlive_the_restart_of_all_gateways() {
     with_fleet(spec(2), async |fleet| {
-        let body = format!("{ENDS}a");
+        let body = format!("{CRASH_PREFIX}a");
         for n in 0..2 {
             let _ =
-                fleet.caller(n).with_body(ONCE_SUMMARY, &format!("first{n}"), body.clone()).await;
+                fleet.caller(n).send_body(ONCE_SUMMARY, &format!("first{n}"), body.clone()).await;
             compio::time::sleep(SEND_INTERVAL * 2).await;
         }
         assert_eq!(crash_counts(fleet, "a").0, 2);
@@ -328,8 +339,8 @@
         compio::time::sleep(SEND_INTERVAL * 4).await;
         for gateway in 0..2 {
             let before = crash_counts(fleet, "a").0;
-            let body = format!("{ENDS}a");
-            let _ = fleet.caller(gateway).with_body(SUMMARY, &format!("in{gateway}"), body).await;
+            let body = format!("{CRASH_PREFIX}a");
+            let _ = fleet.caller(gateway).send_body(SUMMARY, &format!("in{gateway}"), body).await;
             assert!(
                 crash_counts(fleet, "a").0 > before,
                 "gateway {gateway} did not send the request again"
@@ -358,9 +369,9 @@
 /// run.
 #[test]
 fn a_request_under_which_engines_fall_silent_reaches_no_others() {
-    let spec = FleetSpec { writers: 10, ..spec(3) };
+    let spec = FleetSpec { decode_engines: 10, ..spec(3) };
     with_fleet(spec, async |fleet| {
-        let body = format!("{ENDS_DARK}a");
+        let body = format!("{SILENT_CRASH_PREFIX}a");
         send_body_repeatedly(fleet, SUMMARY, "a", &body, Duration::from_secs(12), SEND_INTERVAL)
             .await;
         let (crashes, late) = crash_counts(fleet, "a");
@@ -377,13 +388,13 @@
 fn a_crash_counts_after_its_caller_disconnected() {
     with_fleet(spec(2), async |fleet| {
         let end = Instant::now() + Duration::from_secs(9);
-        let (mut n, body) = (0, format!("{ENDS}a"));
+        let (mut n, body) = (0, format!("{CRASH_PREFIX}a"));
         while Instant::now() < end {
             n += 1;
             for path in [SUMMARY, LOOKUP] {
                 let caller = fleet.caller(n % 2);
                 let (attempt, body) = (format!("{path}-{n}"), format!("{body}{path}"));
-                let sent = caller.with_body(path, &attempt, body);
+                let sent = caller.send_body(path, &attempt, body);
                 // About 50 ms for the prefill, and 70 ms until the crash.
                 let _ = compio::time::timeout(SEND_INTERVAL / 3, sent).await;
             }
@@ -419,12 +430,12 @@
 
 /// The request is refused at once: as quarantined, not run, and not to be sent again soon.
 async fn assert_quarantined(fleet: &Fleet, gateway: usize) {
-    let body = format!("{ENDS}a");
-    let answer = fleet.caller(gateway).with_body(SUMMARY, "refused", body).await;
+    let body = format!("{CRASH_PREFIX}a");
+    let answer = fleet.caller(gateway).send_body(SUMMARY, "refused", body).await;
     let answer = answer.expect("an answer");
     assert_eq!(answer.status, 503);
-    assert_eq!(fleet.runs("refused"), 0);
-    assert!(answer.took < SEND_INTERVAL, "{:?}", answer.took);
+    assert_eq!(fleet.run_count("refused"), 0);
+    assert!(answer.total_time < SEND_INTERVAL, "{:?}", answer.total_time);
     let text = String::from_utf8_lossy(&answer.body).into_owned();
     assert!(text.contains("quarantined") && text.contains("not-run"), "{text}");
     let wait: f64 = answer.header("retry-after").expect("a time").parse().expect("seconds");
--- a/crates/standins/tests/framing.rs
+++ b/crates/standins/tests/framing.rs
@@ -26,7 +26,7 @@
 }
 
 fn run_count(fleet: &Fleet, attempt: &str) -> usize {
-    fleet.runs(attempt)
+    fleet.run_count(attempt)
 }
 
 #[test]
--- a/crates/standins/tests/gateway.rs
+++ b/crates/standins/tests/gateway.rs
@@ -9,11 +9,11 @@
 use ebonyloft_router::catalog::{Split, Stage};
 use ebonyloft_router::load_report::{GossipMessage, LoadReport};
 use ebonyloft_standins::fleet::caller::Answer;
-use ebonyloft_standins::fleet::runner::{Fault, RunnerSpec};
+use ebonyloft_standins::fleet::runner::{BackendSpec, Fault};
 use ebonyloft_standins::fleet::store;
 use ebonyloft_standins::fleet::{
-    CHECK, ENGINES, Fleet, FleetSpec, LOOKUP, ONCE_SUMMARY, PLAIN, SUMMARY, config, eventually,
-    with_fleet,
+    CHECK, ENGINE_SERVICE, Fleet, FleetSpec, LOOKUP, ONCE_SUMMARY, PLAIN_SERVICE, SUMMARY, config,
+    eventually, with_fleet,
 };
 use ebonyloftd::gateway::pool::ExchangeError;
 use hyper::Request;
@@ -21,7 +21,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 fn arrival_count(fleet: &Fleet) -> usize {
-    fleet.runners.iter().map(|r| r.seen.borrow().arrivals.len()).sum()
+    fleet.backends.iter().map(|r| r.observed.borrow().arrivals.len()).sum()
 }
 
 /// Sends a summary with attempt id `s1` in a task of its own.
@@ -32,7 +32,7 @@
 }
 
 fn in_use(fleet: &Fleet) -> usize {
-    fleet.runners.iter().map(|r| r.held() + r.running() as usize).sum()
+    fleet.backends.iter().map(|r| r.reservation_count() + r.running() as usize).sum()
 }
 
 #[test]
@@ -45,17 +45,17 @@
             assert_eq!(answer.header("attempt-id"), Some(attempt));
             assert!(answer.header("server-stamp").is_some());
             assert!(String::from_utf8_lossy(&answer.body).contains(attempt));
-            assert_eq!(fleet.runs(attempt), 1);
+            assert_eq!(fleet.run_count(attempt), 1);
         }
         for (path, attempt) in [(SUMMARY, "s1"), (ONCE_SUMMARY, "s2")] {
             let answer = caller.summary(path, attempt).await.expect("an answer");
             assert_eq!(answer.status, 200);
-            assert!(answer.whole);
+            assert!(answer.complete);
             assert_eq!(answer.events(), (1..=20).collect::<Vec<_>>());
-            assert_eq!(fleet.runs(attempt), 1);
+            assert_eq!(fleet.run_count(attempt), 1);
         }
         // The prefill engine processed both prompts, and nothing stays reserved.
-        assert_eq!(fleet.runners[0].seen.borrow().reads, 2);
+        assert_eq!(fleet.backends[0].observed.borrow().prefill_count, 2);
         assert!(eventually(SECOND, || in_use(fleet) == 0).await);
     });
 }
@@ -63,7 +63,7 @@
 #[test]
 fn a_failed_lookup_is_retried_at_another_server() {
     with_fleet(FleetSpec::default(), async |fleet| {
-        fleet.runners[3].set_fault(Fault::Errors);
+        fleet.backends[3].set_fault(Fault::Errors);
         for i in 0..10 {
             let answer = fleet.caller(0).call(LOOKUP, &format!("l{i}")).await.expect("an answer");
             assert_eq!(answer.status, 200);
@@ -74,11 +74,11 @@
 #[test]
 fn a_lookup_is_answered_in_time_despite_a_hanging_server() {
     with_fleet(FleetSpec::default(), async |fleet| {
-        fleet.runners[3].set_fault(Fault::Hangs);
+        fleet.backends[3].set_fault(Fault::Hangs);
         for i in 0..10 {
             let answer = fleet.caller(0).call(LOOKUP, &format!("l{i}")).await.expect("an answer");
             assert_eq!(answer.status, 200);
-            assert!(answer.took < Duration::from_millis(600), "{:?}", answer.took);
+            assert!(answer.total_time < Duration::from_millis(600), "{:?}", answer.total_time);
         }
     });
 }
@@ -87,7 +87,7 @@
 #[test]
 fn a_lost_check_never_runs_twice() {
     with_fleet(FleetSpec::default(), async |fleet| {
-        for backend in &fleet.runners[3..] {
+        for backend in &fleet.backends[3..] {
             backend.set_fault(Fault::Loses);
         }
         for i in 0..6 {
@@ -96,15 +96,15 @@
             assert_eq!(answer.status, 502);
             assert_eq!(answer.header("retry-after"), None);
             assert!(answer.header("server-stamp").is_none());
-            assert_eq!(fleet.runs(&attempt), 1);
+            assert_eq!(fleet.run_count(&attempt), 1);
         }
     });
 }
 
 #[test]
 fn an_error_response_to_a_check_is_passed_on_unchanged() {
-    with_fleet(FleetSpec { plain: 1, ..FleetSpec::default() }, async |fleet| {
-        fleet.runners[3].set_fault(Fault::Errors);
+    with_fleet(FleetSpec { plain_servers: 1, ..FleetSpec::default() }, async |fleet| {
+        fleet.backends[3].set_fault(Fault::Errors);
         let answer = fleet.caller(0).call(CHECK, "c1").await.expect("an answer");
         assert_eq!((answer.status, answer.body.as_slice()), (500, &b"failed"[..]));
         assert!(answer.header("server-stamp").is_some());
@@ -115,7 +115,7 @@
 #[test]
 fn a_request_that_all_servers_reject_is_refused_at_once() {
     with_fleet(FleetSpec::default(), async |fleet| {
-        for backend in &fleet.runners {
+        for backend in &fleet.backends {
             backend.set_fault(Fault::Sheds);
         }
         let answer = fleet.caller(0).call(CHECK, "c1").await.expect("an answer");
@@ -123,8 +123,8 @@
         let retry_after: f64 =
             answer.header("retry-after").expect("a time").parse().expect("seconds");
         assert!(retry_after > 0.0 && retry_after < 1.0, "{retry_after}");
-        assert!(answer.took < Duration::from_millis(100), "{:?}", answer.took);
-        assert_eq!(fleet.runs("c1"), 0);
+        assert!(answer.total_time < Duration::from_millis(100), "{:?}", answer.total_time);
+        assert_eq!(fleet.run_count("c1"), 0);
     });
 }
 
@@ -132,37 +132,37 @@
 /// limits them to some fifteen attempts while a caller waits, instead of some hundred.
 #[test]
 fn an_engine_that_refuses_a_reservation_is_asked_again_after_a_back_off() {
-    let runner = RunnerSpec { tokens: 5_000, events: 400, ..RunnerSpec::default() };
+    let runner = BackendSpec { memory_tokens: 5_000, event_count: 400, ..BackendSpec::default() };
     with_fleet(FleetSpec { gateways: 1, runner, ..FleetSpec::default() }, async |fleet| {
-        fleet.runners[1].set_fault(Fault::Full);
+        fleet.backends[1].set_fault(Fault::Full);
         let first = fleet.caller(0);
         let request = first.summary_request(SUMMARY, "s1");
-        let _stream = first.begin(request).await.expect("an answer");
-        let before = fleet.runners[1].seen.borrow().refused;
+        let _stream = first.send_unread(request).await.expect("an answer");
+        let before = fleet.backends[1].observed.borrow().refused_holds;
         let answer = fleet.caller(0).summary(SUMMARY, "s2").await.expect("an answer");
         assert_eq!(answer.status, 503);
-        let attempts = fleet.runners[1].seen.borrow().refused - before;
-        assert!((1..=20).contains(&attempts), "{attempts} times in {:?}", answer.took);
+        let attempts = fleet.backends[1].observed.borrow().refused_holds - before;
+        assert!((1..=20).contains(&attempts), "{attempts} times in {:?}", answer.total_time);
     });
 }
 
 /// With memory for one answer only, the second summary can't start in time and is refused early.
 #[test]
 fn a_summary_without_a_reservation_is_refused_before_its_latency_goal() {
-    let runner = RunnerSpec { tokens: 5_000, events: 200, ..RunnerSpec::default() };
-    with_fleet(FleetSpec { writers: 1, runner, ..FleetSpec::default() }, async |fleet| {
+    let runner = BackendSpec { memory_tokens: 5_000, event_count: 200, ..BackendSpec::default() };
+    with_fleet(FleetSpec { decode_engines: 1, runner, ..FleetSpec::default() }, async |fleet| {
         let first = fleet.caller(0);
         let request = first.summary_request(SUMMARY, "s1");
-        let _stream = first.begin(request).await.expect("an answer");
+        let _stream = first.send_unread(request).await.expect("an answer");
         let answer = fleet.caller(0).summary(SUMMARY, "s2").await.expect("an answer");
         assert_eq!(answer.status, 503);
-        assert!(answer.took < Duration::from_millis(900), "{:?}", answer.took);
+        assert!(answer.total_time < Duration::from_millis(900), "{:?}", answer.total_time);
         let retry_after: f64 =
             answer.header("retry-after").expect("a time").parse().expect("seconds");
         assert!(retry_after > 2.0, "{retry_after}");
-        assert_eq!(fleet.runs("s2"), 0);
+        assert_eq!(fleet.run_count("s2"), 0);
         assert_eq!(
-            fleet.runners[0].seen.borrow().reads,
+            fleet.backends[0].observed.borrow().prefill_count,
             1,
             "no prompt is processed without a reservation"
         );
@@ -173,14 +173,14 @@
 #[test]
 fn a_broken_summary_is_resumed_within_the_same_response() {
     with_fleet(FleetSpec::default(), async |fleet| {
-        fleet.runners[1].set_fault(Fault::Breaks);
+        fleet.backends[1].set_fault(Fault::Breaks);
         let broken_runs =
-            |fleet: &Fleet| fleet.runners[1].seen.borrow().runs.values().sum::<usize>();
+            |fleet: &Fleet| fleet.backends[1].observed.borrow().runs.values().sum::<usize>();
         // Either of two equal engines may be selected: at least four summaries, and more until one broke off.
         for i in 0..40 {
             let attempt = format!("s{i}");
             let answer = fleet.caller(0).summary(SUMMARY, &attempt).await.expect("an answer");
-            assert!(answer.whole);
+            assert!(answer.complete);
             assert_eq!(answer.events(), (1..=20).collect::<Vec<_>>(), "{attempt}");
             if i >= 3 && broken_runs(fleet) > 0 {
                 break;
@@ -193,13 +193,13 @@
 /// A summary that runs once can't be resumed: its response must end as incomplete.
 #[test]
 fn a_broken_summary_that_runs_once_ends_incomplete() {
-    with_fleet(FleetSpec { writers: 1, ..FleetSpec::default() }, async |fleet| {
-        fleet.runners[1].set_fault(Fault::Breaks);
+    with_fleet(FleetSpec { decode_engines: 1, ..FleetSpec::default() }, async |fleet| {
+        fleet.backends[1].set_fault(Fault::Breaks);
         let answer = fleet.caller(0).summary(ONCE_SUMMARY, "s1").await.expect("an answer");
-        assert!(!answer.whole);
+        assert!(!answer.complete);
         assert!(answer.events().len() < 20);
         assert!(answer.body.ends_with(b"\n\n"), "only complete events are passed on");
-        assert_eq!(fleet.runs("s1"), 1);
+        assert_eq!(fleet.run_count("s1"), 1);
     });
 }
 
@@ -208,15 +208,15 @@
 #[test]
 fn an_engine_that_changes_its_stage_is_not_selected() {
     with_fleet(FleetSpec::default(), async |fleet| {
-        fleet.runners[1].set_fault(Fault::Changes);
+        fleet.backends[1].set_fault(Fault::Changes);
         for i in 0..8 {
             let answer =
                 fleet.caller(0).summary(SUMMARY, &format!("s{i}")).await.expect("an answer");
-            assert!(answer.whole);
+            assert!(answer.complete);
         }
-        let rejected = fleet.runners[1].seen.borrow().arrivals.len();
+        let rejected = fleet.backends[1].observed.borrow().arrivals.len();
         assert!(rejected <= 3, "{rejected} of 8 summaries were sent to it");
-        let reads = fleet.runners[0].seen.borrow().reads;
+        let reads = fleet.backends[0].observed.borrow().prefill_count;
         assert!(reads <= 9, "{reads} prefills for 8 summaries");
     });
 }
@@ -225,24 +225,24 @@
 #[test]
 fn a_summary_that_times_out_at_an_engine_is_not_reported_as_not_run() {
     with_fleet(FleetSpec::default(), async |fleet| {
-        for backend in &fleet.runners[1..3] {
+        for backend in &fleet.backends[1..3] {
             backend.set_fault(Fault::Stuck);
         }
-        let caller = fleet.caller(0).patience(SECOND);
+        let caller = fleet.caller(0).with_timeout(SECOND);
         let answer = caller.summary(ONCE_SUMMARY, "s1").await.expect("an answer");
         assert_eq!(answer.status, 504);
         assert_eq!(answer.header("retry-after"), None);
-        assert_eq!(fleet.runs("s1"), 1);
+        assert_eq!(fleet.run_count("s1"), 1);
     });
 }
 
 #[test]
 fn a_caller_that_disconnects_ends_its_run_and_frees_the_memory() {
-    let runner = RunnerSpec { events: 1_000, ..RunnerSpec::default() };
+    let runner = BackendSpec { event_count: 1_000, ..BackendSpec::default() };
     with_fleet(FleetSpec { runner, ..FleetSpec::default() }, async |fleet| {
         let caller = fleet.caller(0);
-        let stream = caller.begin(caller.summary_request(ONCE_SUMMARY, "s1")).await;
-        assert!(eventually(SECOND, || fleet.runs("s1") == 1).await);
+        let stream = caller.send_unread(caller.summary_request(ONCE_SUMMARY, "s1")).await;
+        assert!(eventually(SECOND, || fleet.run_count("s1") == 1).await);
         drop(stream);
         assert!(eventually(SECOND / 2, || in_use(fleet) == 0).await, "{} held", in_use(fleet));
     });
@@ -250,22 +250,22 @@
 
 #[test]
 fn a_caller_that_disconnects_during_the_prefill_holds_nothing() {
-    let runner = RunnerSpec { read: Duration::from_millis(400), ..RunnerSpec::default() };
+    let runner = BackendSpec { prefill_time: Duration::from_millis(400), ..BackendSpec::default() };
     with_fleet(FleetSpec { runner, ..FleetSpec::default() }, async |fleet| {
         let caller = fleet.caller(0);
         let request = caller.summary_request(SUMMARY, "s1");
-        let timed_out = compio::time::timeout(SECOND / 10, caller.begin(request)).await;
+        let timed_out = compio::time::timeout(SECOND / 10, caller.send_unread(request)).await;
         assert!(timed_out.is_err());
         drop(caller);
         assert!(eventually(SECOND / 2, || in_use(fleet) == 0).await, "{} held", in_use(fleet));
-        assert_eq!(fleet.runs("s1"), 0);
+        assert_eq!(fleet.run_count("s1"), 0);
     });
 }
 
 #[test]
 fn a_leaving_server_gets_no_new_work() {
     with_fleet(FleetSpec::default(), async |fleet| {
-        let leaving = fleet.runners[3].clone();
+        let leaving = fleet.backends[3].clone();
         leaving.server.borrow_mut().draining = true;
         fleet.store.register(&leaving.server.borrow());
         compio::time::sleep(SECOND / 5).await;
@@ -273,24 +273,28 @@
             let answer = fleet.caller(0).call(CHECK, &format!("c{i}")).await.expect("an answer");
             assert_eq!(answer.status, 200);
         }
-        assert!(leaving.seen.borrow().arrivals.is_empty());
+        assert!(leaving.observed.borrow().arrivals.is_empty());
     });
 }
 
 /// The engine leaves between the reservation and the end of the prefill.
 #[test]
 fn a_reservation_at_a_leaving_engine_is_abandoned() {
-    let runner = RunnerSpec { read: Duration::from_millis(300), ..RunnerSpec::default() };
+    let runner = BackendSpec { prefill_time: Duration::from_millis(300), ..BackendSpec::default() };
     with_fleet(FleetSpec { runner, ..FleetSpec::default() }, async |fleet| {
         let task = summary_task(fleet, ONCE_SUMMARY);
-        let reserved_at = || fleet.runners[1..3].iter().position(|r| r.held() > 0);
+        let reserved_at = || fleet.backends[1..3].iter().position(|r| r.reservation_count() > 0);
         assert!(eventually(SECOND, || reserved_at().is_some()).await);
-        let leaving = fleet.runners[1 + reserved_at().expect("a reservation")].clone();
+        let leaving = fleet.backends[1 + reserved_at().expect("a reservation")].clone();
         fleet.store.unregister(&leaving.server.borrow());
         let answer = task.await.expect("the caller's task").expect("an answer");
-        assert!(answer.whole);
-        assert_eq!(leaving.runs("s1"), 0);
-        assert_eq!(fleet.runners[0].seen.borrow().reads, 1, "the prompt is processed once");
+        assert!(answer.complete);
+        assert_eq!(leaving.run_count("s1"), 0);
+        assert_eq!(
+            fleet.backends[0].observed.borrow().prefill_count,
+            1,
+            "the prompt is processed once"
+        );
     });
 }
 
@@ -299,12 +303,12 @@
 fn a_different_server_at_a_known_address_runs_nothing() {
     with_fleet(FleetSpec::default(), async |fleet| {
         let id = ebonyloft_router::catalog::ServerId::new("i-new", 0);
-        fleet.runners[3].server.borrow_mut().id = id;
+        fleet.backends[3].server.borrow_mut().id = id;
         for i in 0..6 {
             let attempt = format!("c{i}");
             let answer = fleet.caller(0).call(CHECK, &attempt).await.expect("an answer");
             assert_eq!(answer.status, 200);
-            assert_eq!(fleet.runners[3].runs(&attempt), 0);
+            assert_eq!(fleet.backends[3].run_count(&attempt), 0);
         }
     });
 }
@@ -336,8 +340,8 @@
         let mut next = config(2, &spec);
         for route in next.routes.iter_mut().filter(|r| r.name == "check") {
             route.split = vec![
-                Split { service: ENGINES.into(), weight: 0 },
-                Split { service: PLAIN.into(), weight: 3 },
+                Split { service: ENGINE_SERVICE.into(), weight: 0 },
+                Split { service: PLAIN_SERVICE.into(), weight: 3 },
             ];
         }
         fleet.configure(&next);
@@ -352,13 +356,13 @@
 fn changes_in_quick_succession_are_fetched_together() {
     with_fleet(FleetSpec { gateways: 3, ..FleetSpec::default() }, async |fleet| {
         compio::time::sleep(SECOND).await;
-        let before = fleet.store.calls();
+        let before = fleet.store.call_count();
         for i in 0..20_u8 {
             fleet.store.put("ebonyloft/other", &[i], 0);
             compio::time::sleep(SECOND / 33).await;
         }
         compio::time::sleep(SECOND / 2).await;
-        let calls = fleet.store.calls() - before;
+        let calls = fleet.store.call_count() - before;
         assert!(calls <= 20, "{calls} calls");
     });
 }
@@ -371,7 +375,7 @@
         compio::time::sleep(SECOND / 2).await;
         let answer = fleet.caller(0).call(CHECK, "c1").await.expect("an answer");
         assert_eq!(answer.status, 200);
-        assert!(fleet.caller(0).summary(SUMMARY, "s1").await.expect("an answer").whole);
+        assert!(fleet.caller(0).summary(SUMMARY, "s1").await.expect("an answer").complete);
         fleet.add_gateway();
         compio::time::sleep(SECOND / 2).await;
         assert_eq!(fleet.readiness(2).await, 503);
@@ -428,19 +432,19 @@
     with_fleet(FleetSpec::default(), async |fleet| {
         fleet.store.set_fault(store::Fault::Busy);
         compio::time::sleep(SECOND / 2).await;
-        for backend in &fleet.runners {
+        for backend in &fleet.backends {
             fleet.store.unregister(&backend.server.borrow());
         }
         fleet.store.set_fault(store::Fault::None);
         compio::time::sleep(SECOND).await;
         let answer = fleet.caller(0).call(CHECK, "c1").await.expect("an answer");
         assert_eq!(answer.status, 200, "the servers may still register again");
-        fleet.store.register(&fleet.runners[3].server.borrow());
+        fleet.store.register(&fleet.backends[3].server.borrow());
         compio::time::sleep(2 * SECOND).await;
         for i in 0..6 {
             fleet.caller(0).call(CHECK, &format!("d{i}")).await.expect("an answer");
         }
-        let arrivals = &fleet.runners[4].seen.borrow().arrivals;
+        let arrivals = &fleet.backends[4].observed.borrow().arrivals;
         assert!(
             !arrivals.keys().any(|a| a.starts_with('d')),
             "the server that did not register again is not used"
@@ -451,10 +455,11 @@
 /// On a stop, readiness fails at once, running requests complete, and new ones are still served for a while.
 #[test]
 fn a_graceful_stop_cuts_off_no_request() {
-    let runner = RunnerSpec { pace: Duration::from_millis(100), ..RunnerSpec::default() };
+    let runner =
+        BackendSpec { event_interval: Duration::from_millis(100), ..BackendSpec::default() };
     with_fleet(FleetSpec { runner, ..FleetSpec::default() }, async |fleet| {
         let task = summary_task(fleet, SUMMARY);
-        assert!(eventually(SECOND, || fleet.runs("s1") == 1).await);
+        assert!(eventually(SECOND, || fleet.run_count("s1") == 1).await);
         fleet.stop(0);
         compio::time::sleep(SECOND / 20).await;
         assert_eq!(fleet.readiness(0).await, 503);
@@ -463,7 +468,7 @@
         assert_eq!(late.header("connection"), Some("close"));
         let answer = task.await.expect("the caller's task").expect("an answer");
         assert_eq!(answer.events().len(), 20);
-        assert!(eventually(8 * SECOND, || fleet.ended(0)).await);
+        assert!(eventually(8 * SECOND, || fleet.has_stopped(0)).await);
     });
 }
 
@@ -471,10 +476,11 @@
 /// and refuses summaries that it could not complete.
 #[test]
 fn a_stopping_gateway_accepts_requests_that_it_can_complete() {
-    let runner = RunnerSpec { pace: Duration::from_millis(300), ..RunnerSpec::default() };
+    let runner =
+        BackendSpec { event_interval: Duration::from_millis(300), ..BackendSpec::default() };
     with_fleet(FleetSpec { runner, ..FleetSpec::default() }, async |fleet| {
         let task = summary_task(fleet, SUMMARY);
-        assert!(eventually(SECOND, || fleet.runs("s1") == 1).await);
+        assert!(eventually(SECOND, || fleet.run_count("s1") == 1).await);
         fleet.stop(0);
         compio::time::sleep(4 * SECOND).await;
         let check = fleet.caller(0).call(CHECK, "c1").await.expect("an answer");
@@ -482,7 +488,7 @@
         let summary = fleet.caller(0).summary(SUMMARY, "s2").await.expect("an answer");
         assert_eq!(summary.status, 503);
         assert!(summary.header("retry-after").is_some());
-        assert_eq!(fleet.runs("s2"), 0);
+        assert_eq!(fleet.run_count("s2"), 0);
         let answer = task.await.expect("the caller's task").expect("an answer");
         assert_eq!(answer.events().len(), 20);
     });
@@ -529,15 +535,18 @@
 #[test]
 fn orders_come_from_one_gateway_with_a_fencing_token() {
     // Six decode engines and no prefill engine: one or two should change their stage.
-    with_fleet(FleetSpec { readers: 0, writers: 6, ..FleetSpec::default() }, async |fleet| {
-        let orders = |fleet: &Fleet| -> Vec<(Stage, u64)> {
-            fleet.runners.iter().flat_map(|r| r.seen.borrow().orders.clone()).collect()
-        };
-        assert!(eventually(6 * SECOND, || !orders(fleet).is_empty()).await);
-        let first = orders(fleet);
-        assert!(first.iter().all(|o| *o == (Stage::Prefill, 1)), "{first:?}");
-        assert!(fleet.store.value("ebonyloft/orders/lock").is_some());
-    });
+    with_fleet(
+        FleetSpec { prefill_engines: 0, decode_engines: 6, ..FleetSpec::default() },
+        async |fleet| {
+            let orders = |fleet: &Fleet| -> Vec<(Stage, u64)> {
+                fleet.backends.iter().flat_map(|r| r.observed.borrow().orders.clone()).collect()
+            };
+            assert!(eventually(6 * SECOND, || !orders(fleet).is_empty()).await);
+            let first = orders(fleet);
+            assert!(first.iter().all(|o| *o == (Stage::Prefill, 1)), "{first:?}");
+            assert!(fleet.store.value("ebonyloft/orders/lock").is_some());
+        },
+    );
 }
 
 #[test]
--- a/crates/standins/tests/leaving.rs
+++ b/crates/standins/tests/leaving.rs
@@ -22,22 +22,22 @@
 
 /// Registers the first prefill engine as draining; a second one stays in service.
 fn drain_first_engine(fleet: &Fleet) {
-    let engine = &fleet.runners[0];
+    let engine = &fleet.backends[0];
     engine.server.borrow_mut().draining = true;
     fleet.store.register(&engine.server.borrow());
 }
 
 /// Sends `count` summaries through each gateway; returns how many prompts the first prefill engine processed.
 async fn prefills_at_first_engine(fleet: &Fleet, name: &str, count: usize) -> u64 {
-    let before = fleet.runners[0].seen.borrow().reads;
+    let before = fleet.backends[0].observed.borrow().prefill_count;
     for n in 0..count {
         for gateway in 0..fleet.gateways.len() {
             let attempt = format!("{name}-{gateway}-{n}");
             let answer = fleet.caller(gateway).summary(SUMMARY, &attempt).await;
-            assert!(answer.expect("an answer").whole, "{attempt}");
+            assert!(answer.expect("an answer").complete, "{attempt}");
         }
     }
-    fleet.runners[0].seen.borrow().reads - before
+    fleet.backends[0].observed.borrow().prefill_count - before
 }
 
 async fn assert_not_following(fleet: &Fleet) {
@@ -52,14 +52,14 @@
 /// went to the engine 3.1 and 3.2 s after its announcement, while bodies of 1 MB took 3.7 and 3.9 s.
 #[test]
 fn a_large_configuration_does_not_delay_a_leaving_announcement() {
-    let spec = FleetSpec { gateways: 1, readers: 2, ..FleetSpec::default() };
+    let spec = FleetSpec { gateways: 1, prefill_engines: 2, ..FleetSpec::default() };
     with_fleet(spec, async |fleet| {
         assert!(
             prefills_at_first_engine(fleet, "before", 10).await > 0,
             "the engine is used until it leaves"
         );
         // The transfer of the configuration takes about six seconds.
-        fleet.store.set_rate(20 << 10);
+        fleet.store.limit_bandwidth(20 << 10);
         fleet.configure(&large_config(2, ROUTE_COUNT));
         compio::time::sleep(SECOND / 2).await;
         drain_first_engine(fleet);
@@ -75,11 +75,11 @@
 /// The same when the store has compacted its history and the gateway has to list everything again.
 #[test]
 fn a_slow_full_listing_does_not_delay_a_leaving_announcement() {
-    let spec = FleetSpec { gateways: 1, readers: 2, ..FleetSpec::default() };
+    let spec = FleetSpec { gateways: 1, prefill_engines: 2, ..FleetSpec::default() };
     with_fleet(spec, async |fleet| {
         fleet.configure(&large_config(2, ROUTE_COUNT));
         compio::time::sleep(SECOND).await;
-        fleet.store.set_rate(20 << 10);
+        fleet.store.limit_bandwidth(20 << 10);
         drain_first_engine(fleet);
         fleet.store.compact();
         compio::time::sleep(LEAVING_BOUND).await;
@@ -96,11 +96,11 @@
 #[test]
 fn a_configuration_from_a_peer_does_not_delay_a_leaving_announcement() {
     with_peers(async |fleet, peers| {
-        let mut engine = fleet.runners[0].server.borrow().clone();
+        let mut engine = fleet.backends[0].server.borrow().clone();
         engine.draining = true;
         for peer in peers {
-            peer.hear_config(&config(2, &FleetSpec::default()));
-            peer.hear_change(&engine.id.name, Registration::Server(engine.clone()), 1_000);
+            peer.set_config(&config(2, &FleetSpec::default()));
+            peer.add_change(&engine.id.name, Registration::Server(engine.clone()), 1_000);
         }
         compio::time::sleep(LEAVING_BOUND).await;
         assert_eq!(
@@ -121,18 +121,18 @@
 #[test]
 fn a_missing_registration_counts_as_soon_as_peers_trust_the_store() {
     with_peers(async |fleet, peers| {
-        peers.iter().for_each(|peer| peer.set_settles(500));
+        peers.iter().for_each(|peer| peer.set_settle_ms(500));
         compio::time::sleep(SECOND / 2).await;
-        let engine = fleet.runners[0].server.borrow().id.name.clone();
+        let engine = fleet.backends[0].server.borrow().id.name.clone();
         for peer in peers {
-            peer.hear_change(&engine, Registration::Removed, 1_000);
+            peer.add_change(&engine, Registration::Removed, 1_000);
         }
         compio::time::sleep(SECOND).await;
         assert!(
             prefills_at_first_engine(fleet, "before", 10).await > 0,
             "the engine may still be alive"
         );
-        peers.iter().for_each(|peer| peer.set_settles(0));
+        peers.iter().for_each(|peer| peer.set_settle_ms(0));
         compio::time::sleep(LEAVING_BOUND / 2).await;
         assert_eq!(
             prefills_at_first_engine(fleet, "after", 10).await,
@@ -171,15 +171,15 @@
 }
 
 fn assert_leader_learns_from_peer(fault: store::Fault) {
-    let spec = FleetSpec { gateways: 1, readers: 2, ..FleetSpec::default() };
+    let spec = FleetSpec { gateways: 1, prefill_engines: 2, ..FleetSpec::default() };
     with_fleet(spec, async |fleet| {
         let peer = fleet.add_peer(WEAK_POWER).await;
-        compio::runtime::spawn(peer.clone().tell(fleet.gateways[0].ip)).detach();
+        compio::runtime::spawn(peer.clone().send_gossip(fleet.gateways[0].ip)).detach();
         compio::time::sleep(SECOND).await;
         fleet.store.set_fault(fault);
-        let mut engine = fleet.runners[0].server.borrow().clone();
+        let mut engine = fleet.backends[0].server.borrow().clone();
         engine.draining = true;
-        peer.hear_change(&engine.id.name, Registration::Server(engine.clone()), 1_000);
+        peer.add_change(&engine.id.name, Registration::Server(engine.clone()), 1_000);
         compio::time::sleep(LEAVING_BOUND).await;
         assert_eq!(
             prefills_at_first_engine(fleet, "after", 10).await,
@@ -207,12 +207,12 @@
 
 /// Runs `body` with a gateway that follows two peers instead of the store; they have no updates yet.
 fn with_peers(body: impl AsyncFnOnce(&Fleet, &[Rc<Peer>])) {
-    let spec = FleetSpec { gateways: 0, readers: 2, ..FleetSpec::default() };
+    let spec = FleetSpec { gateways: 0, prefill_engines: 2, ..FleetSpec::default() };
     with_fleet(spec, async |fleet| {
         let peers = [fleet.add_peer(STRONG_POWER).await, fleet.add_peer(STRONG_POWER).await];
         fleet.add_gateway();
         for peer in &peers {
-            compio::runtime::spawn(peer.clone().tell(fleet.gateways[0].ip)).detach();
+            compio::runtime::spawn(peer.clone().send_gossip(fleet.gateways[0].ip)).detach();
         }
         fleet.wait_ready(0).await;
         // The gateway learns that both peers follow the store, and stops following it.
--- a/crates/standins/tests/limits.rs
+++ b/crates/standins/tests/limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use ebonyloft_standins::fleet::runner::{Fault, RunnerSpec};
+use ebonyloft_standins::fleet::runner::{BackendSpec, Fault};
 use ebonyloft_standins::fleet::{
     CHECK, Fleet, FleetSpec, LOOKUP, ONCE_SUMMARY, SUMMARY, with_fleet,
 };
@@ -45,8 +45,8 @@
 
 /// Largest number of requests that a server received in any window starting at `since` or later.
 fn max_in_window(fleet: &Fleet, backend: usize, since: Instant) -> usize {
-    let seen = fleet.runners[backend].seen.borrow();
-    let all = seen.taken.iter().chain(&seen.given_back);
+    let seen = fleet.backends[backend].observed.borrow();
+    let all = seen.call_times.iter().chain(&seen.release_times);
     let taken: Vec<Instant> = all.copied().filter(|at| *at >= since).collect();
     let count =
         |from: &Instant| taken.iter().filter(|at| **at >= *from && **at < *from + WINDOW).count();
@@ -60,11 +60,11 @@
 #[test]
 fn a_plain_server_that_announces_a_limit_gets_no_more_from_all_gateways() {
     // Slower than the estimate for an unknown server, so that all three servers are tried.
-    let runner = RunnerSpec { call: Duration::from_millis(45), ..RunnerSpec::default() };
-    let spec = FleetSpec { gateways: 4, plain: 3, runner, ..FleetSpec::default() };
+    let runner = BackendSpec { call_time: Duration::from_millis(45), ..BackendSpec::default() };
+    let spec = FleetSpec { gateways: 4, plain_servers: 3, runner, ..FleetSpec::default() };
     with_fleet(spec, async |fleet| {
-        let limited = fleet.runners.len() - 1;
-        fleet.runners[limited].name_limit(Some("5"));
+        let limited = fleet.backends.len() - 1;
+        fleet.backends[limited].announce_limit(Some("5"));
         let since = Instant::now() + CONTACT_BOUND;
         let answers = send(fleet, "a", &[CHECK, LOOKUP], CONTACT_BOUND + WINDOW * 3 / 2).await;
         let most = max_in_window(fleet, limited, since);
@@ -77,11 +77,12 @@
 
 #[test]
 fn engines_that_announce_a_limit_get_no_more_from_all_gateways() {
-    let spec = FleetSpec { gateways: 4, readers: 2, writers: 3, ..FleetSpec::default() };
+    let spec =
+        FleetSpec { gateways: 4, prefill_engines: 2, decode_engines: 3, ..FleetSpec::default() };
     with_fleet(spec, async |fleet| {
         // A prefill engine and a decode engine.
         let limited = [0, 2];
-        limited.iter().for_each(|n| fleet.runners[*n].name_limit(Some("5")));
+        limited.iter().for_each(|n| fleet.backends[*n].announce_limit(Some("5")));
         let since = Instant::now() + CONTACT_BOUND;
         let answers =
             send(fleet, "a", &[SUMMARY, ONCE_SUMMARY], CONTACT_BOUND + WINDOW * 3 / 2).await;
@@ -102,10 +103,11 @@
 /// An unused prompt is not released at a prefill engine that is at its limit: it expires by itself.
 #[test]
 fn releases_do_not_exceed_a_limit() {
-    let spec = FleetSpec { gateways: 4, readers: 1, writers: 6, ..FleetSpec::default() };
+    let spec =
+        FleetSpec { gateways: 4, prefill_engines: 1, decode_engines: 6, ..FleetSpec::default() };
     with_fleet(spec, async |fleet| {
-        fleet.runners[0].name_limit(Some("5"));
-        fleet.runners[1..7].iter().for_each(|r| r.set_fault(Fault::Errors));
+        fleet.backends[0].announce_limit(Some("5"));
+        fleet.backends[1..7].iter().for_each(|r| r.set_fault(Fault::Errors));
         let since = Instant::now() + CONTACT_BOUND;
         send(fleet, "a", &[SUMMARY, ONCE_SUMMARY], CONTACT_BOUND + WINDOW * 3 / 2).await;
         let most = max_in_window(fleet, 0, since);
--- a/crates/standins/tests/zones.rs
+++ b/crates/standins/tests/zones.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use ebonyloft_standins::fleet::runner::RunnerSpec;
+use ebonyloft_standins::fleet::runner::BackendSpec;
 use ebonyloft_standins::fleet::{
     CHECK, Fleet, FleetSpec, SUMMARY, config, eventually, store, with_fleet,
 };
@@ -38,12 +38,12 @@
 fn two_gateways_of_a_zone_follow_the_store() {
     with_fleet(six_gateways(), async |fleet| {
         compio::time::sleep(SETTLE_TIME).await;
-        let before = fleet.store.calls();
+        let before = fleet.store.call_count();
         for i in 0..10_u8 {
             fleet.store.put("ebonyloft/other", &[i], 0);
             compio::time::sleep(SECOND / 3).await;
         }
-        let calls = fleet.store.calls() - before;
+        let calls = fleet.store.call_count() - before;
         assert!(calls <= 30, "{calls} calls");
     });
 }
@@ -64,13 +64,13 @@
 fn registry_changes_reach_gateways_that_do_not_follow_the_store() {
     with_fleet(six_gateways(), async |fleet| {
         compio::time::sleep(SETTLE_TIME).await;
-        let joined = fleet.add_runner(None, &RunnerSpec::default()).await;
-        for backend in &fleet.runners[3..5] {
+        let joined = fleet.add_backend(None, &BackendSpec::default()).await;
+        for backend in &fleet.backends[3..5] {
             fleet.store.unregister(&backend.server.borrow());
         }
         compio::time::sleep(SECOND).await;
         assert_eq!(statuses(fleet, "c1").await, [200; 6]);
-        assert_eq!(joined.seen.borrow().arrivals.len(), 6);
+        assert_eq!(joined.observed.borrow().arrivals.len(), 6);
     });
 }
 
@@ -83,7 +83,7 @@
         for gateway in 0..2 {
             fleet.stop(gateway);
         }
-        assert!(eventually(10 * SECOND, || fleet.ended(0)).await);
+        assert!(eventually(10 * SECOND, || fleet.has_stopped(0)).await);
         fleet.gateways.drain(..2);
         compio::time::sleep(2 * SECOND).await;
         fleet.configure(&config_without_checks(2));
@@ -109,14 +109,14 @@
 
 /// Starts a gateway in zone `a`, which has no engines, and one in zone `b` with a prefill and a decode engine.
 /// Fifty gateways registered in zone `c` are enough for zones to decide on their own.
-async fn two_zones(fleet: &mut Fleet, spec: &RunnerSpec) {
+async fn two_zones(fleet: &mut Fleet, spec: &BackendSpec) {
     for i in 0..50 {
         let registration = br#"{"addr":"127.0.0.1:9","zone":"c","power":90}"#;
         fleet.store.put(&format!("ebonyloft/gateways/c{i}"), registration, 0);
     }
     use ebonyloft_router::catalog::Stage;
-    fleet.add_runner_in("b", Some(Stage::Prefill), spec).await;
-    fleet.add_runner_in("b", Some(Stage::Decode), spec).await;
+    fleet.add_backend_in("b", Some(Stage::Prefill), spec).await;
+    fleet.add_backend_in("b", Some(Stage::Decode), spec).await;
     fleet.add_gateway_in("a");
     fleet.add_gateway_in("b");
     fleet.wait_ready(0).await;
@@ -126,22 +126,22 @@
 }
 
 fn empty_fleet() -> FleetSpec {
-    FleetSpec { gateways: 0, readers: 0, writers: 0, ..FleetSpec::default() }
+    FleetSpec { gateways: 0, prefill_engines: 0, decode_engines: 0, ..FleetSpec::default() }
 }
 
 fn in_use(fleet: &Fleet) -> usize {
-    fleet.runners.iter().map(|r| r.held() + r.running() as usize).sum()
+    fleet.backends.iter().map(|r| r.reservation_count() + r.running() as usize).sum()
 }
 
 #[test]
 fn a_request_that_a_zone_cannot_serve_overflows_to_another_zone() {
     with_fleet(empty_fleet(), async |fleet| {
-        two_zones(fleet, &RunnerSpec::default()).await;
+        two_zones(fleet, &BackendSpec::default()).await;
         let answer = fleet.caller(0).summary(SUMMARY, "s1").await.expect("an answer");
-        assert_eq!((answer.status, answer.whole), (200, true));
-        assert_eq!(fleet.runs("s1"), 1);
+        assert_eq!((answer.status, answer.complete), (200, true));
+        assert_eq!(fleet.run_count("s1"), 1);
         assert_eq!(
-            fleet.runners[2].seen.borrow().reads,
+            fleet.backends[2].observed.borrow().prefill_count,
             1,
             "the prompt was processed in the other zone"
         );
@@ -152,23 +152,23 @@
 /// The other zone has memory for one answer, which is in use: it refuses, and so does the gateway at once.
 #[test]
 fn a_zone_without_free_memory_grants_no_reservation() {
-    let runner = RunnerSpec { tokens: 5_000, events: 200, ..RunnerSpec::default() };
+    let runner = BackendSpec { memory_tokens: 5_000, event_count: 200, ..BackendSpec::default() };
     with_fleet(empty_fleet(), async |fleet| {
         two_zones(fleet, &runner).await;
         let first = fleet.caller(1);
         let request = first.summary_request(SUMMARY, "s1");
-        let _stream = first.begin(request).await.expect("an answer");
+        let _stream = first.send_unread(request).await.expect("an answer");
         let answer = fleet.caller(0).summary(SUMMARY, "s2").await.expect("an answer");
         assert_eq!(answer.status, 503);
-        assert!(answer.took < Duration::from_millis(900), "{:?}", answer.took);
-        assert_eq!(fleet.runs("s2"), 0);
+        assert!(answer.total_time < Duration::from_millis(900), "{:?}", answer.total_time);
+        assert_eq!(fleet.run_count("s2"), 0);
     });
 }
 
 /// A reservation for another zone is released when its request ends, and can be granted again at once.
 #[test]
 fn a_remote_reservation_is_released_after_its_request() {
-    let runner = RunnerSpec { tokens: 5_000, ..RunnerSpec::default() };
+    let runner = BackendSpec { memory_tokens: 5_000, ..BackendSpec::default() };
     with_fleet(empty_fleet(), async |fleet| {
         two_zones(fleet, &runner).await;
         for i in 0..3 {
@@ -176,7 +176,7 @@
             compio::time::sleep(SECOND / 2).await;
             let answer =
                 fleet.caller(0).summary(SUMMARY, &format!("s{i}")).await.expect("an answer");
-            assert_eq!((answer.status, answer.whole), (200, true), "{i}");
+            assert_eq!((answer.status, answer.complete), (200, true), "{i}");
         }
         assert!(eventually(SECOND, || in_use(fleet) == 0).await);
     });
@@ -185,18 +185,18 @@
 /// A caller that disconnects frees the reservation in the other zone too.
 #[test]
 fn a_caller_that_disconnects_frees_the_remote_reservation() {
-    let runner = RunnerSpec { tokens: 5_000, events: 400, ..RunnerSpec::default() };
+    let runner = BackendSpec { memory_tokens: 5_000, event_count: 400, ..BackendSpec::default() };
     with_fleet(empty_fleet(), async |fleet| {
         two_zones(fleet, &runner).await;
         let first = fleet.caller(0);
         let request = first.summary_request(SUMMARY, "s1");
-        let stream = first.begin(request).await.expect("an answer");
+        let stream = first.send_unread(request).await.expect("an answer");
         drop(stream);
         assert!(eventually(SECOND, || in_use(fleet) == 0).await);
         compio::time::sleep(SECOND / 2).await;
         let again = fleet.caller(0);
         let request = again.summary_request(SUMMARY, "s2");
-        let (response, _conn) = again.begin(request).await.expect("an answer");
+        let (response, _conn) = again.send_unread(request).await.expect("an answer");
         assert_eq!(response.status(), 200);
     });
 }
