--- a/crates/daemon/tests/soak/cluster.rs
+++ b/crates/daemon/tests/soak/cluster.rs
@@ -13,8 +13,8 @@
 use ebonyloft_platform::simulation::{self, AccountSpec};
 use ebonyloft_platform::store::CONFIG_KEY;
 use ebonyloft_router::catalog::{Server, ServerId, Stage};
+use ebonyloft_standins::fleet::backend::{self, BackendServer, BackendSpec};
 use ebonyloft_standins::fleet::caller::Caller;
-use ebonyloft_standins::fleet::runner::{self, BackendServer, BackendSpec};
 use ebonyloft_standins::fleet::store::{self, Store};
 use ebonyloft_standins::fleet::{
     CHECK, ENGINE_SERVICE, FleetSpec, ONCE_SUMMARY, PLAIN_SERVICE, SUMMARY, config,
@@ -390,11 +390,11 @@
 pub const STORE_FAULTS: [store::Fault; 3] =
     [store::Fault::Busy, store::Fault::Silent, store::Fault::Lost];
 /// Faults of backend servers that fault kinds 8 and 9 draw from.
-pub const RUNNER_FAULTS: [runner::Fault; 6] = [
-    runner::Fault::Errors,
-    runner::Fault::Hangs,
-    runner::Fault::Loses,
-    runner::Fault::Sheds,
-    runner::Fault::Changes,
-    runner::Fault::Breaks,
+pub const RUNNER_FAULTS: [backend::Fault; 6] = [
+    backend::Fault::Errors,
+    backend::Fault::Hangs,
+    backend::Fault::Loses,
+    backend::Fault::Sheds,
+    backend::Fault::Changes,
+    backend::Fault::Breaks,
 ];
--- a/crates/daemon/tests/soak/faults.rs
+++ b/crates/daemon/tests/soak/faults.rs
@@ -4,8 +4,8 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
+use ebonyloft_standins::fleet::backend::{self, BackendServer, CRASH_PREFIX};
 use ebonyloft_standins::fleet::caller::Caller;
-use ebonyloft_standins::fleet::runner::{self, BackendServer, CRASH_PREFIX};
 use ebonyloft_standins::fleet::store;
 use ebonyloft_standins::fleet::{CHECK, LOOKUP, SUMMARY};
 use ebonyloft_standins::relay::RelaySwitch;
@@ -104,7 +104,7 @@
         8 | 9 => {
             runner.set_fault(RUNNER_FAULTS[rng.random_range(0..RUNNER_FAULTS.len())]);
             compio::time::sleep(duration).await;
-            runner.set_fault(runner::Fault::None);
+            runner.set_fault(backend::Fault::None);
         }
         10 => {
             cluster.configure(rng.random_range(1..4));
@@ -114,10 +114,10 @@
         }
         11 => {
             // A new incarnation starts under the same name, without the state of the old one.
-            runner.set_fault(runner::Fault::Breaks);
+            runner.set_fault(backend::Fault::Breaks);
             compio::time::sleep(duration / 10).await;
             runner.restart();
-            runner.set_fault(runner::Fault::None);
+            runner.set_fault(backend::Fault::None);
             cluster.store.register(&runner.server.borrow());
         }
         13 => check_drain_in_store(cluster, runner).await,
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -3,10 +3,10 @@
 //! Each has its own loopback address, so that all of them use the same ports, as on the platform. All
 //! tasks run on one thread. Tests read what happened from the stand-ins.
 
+pub mod backend;
 pub mod caller;
 mod listener;
 pub mod peer;
-pub mod runner;
 mod slow;
 pub mod store;
 
@@ -24,9 +24,9 @@
 use ebonyloftd::gateway::{self, Options};
 use futures_channel::oneshot;
 
+use self::backend::{BackendServer, BackendSpec};
 use self::caller::Caller;
 use self::peer::Peer;
-use self::runner::{BackendServer, BackendSpec};
 use self::store::Store;
 
 /// Host name of all routes.
--- a/crates/standins/tests/answers.rs
+++ b/crates/standins/tests/answers.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use ebonyloft_standins::fleet::runner::Fault;
+use ebonyloft_standins::fleet::backend::Fault;
 use ebonyloft_standins::fleet::{
     CHECK, Fleet, FleetSpec, LOOKUP, ONCE_SUMMARY, SUMMARY, store, with_fleet,
 };
--- a/crates/standins/tests/budget.rs
+++ b/crates/standins/tests/budget.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ebonyloft_standins::fleet::runner::Fault;
+use ebonyloft_standins::fleet::backend::Fault;
 use ebonyloft_standins::fleet::{Fleet, FleetSpec, ONCE_SUMMARY, SUMMARY, with_fleet};
 
 /// Retries allowed per request.
--- a/crates/standins/tests/crashing.rs
+++ b/crates/standins/tests/crashing.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use ebonyloft_standins::fleet::runner::{
+use ebonyloft_standins::fleet::backend::{
     BackendSpec, CRASH_PREFIX, Fault, PREFILL_CRASH_PREFIX, SILENT_CRASH_PREFIX,
 };
 use ebonyloft_standins::fleet::{
--- a/crates/standins/tests/limits.rs
+++ b/crates/standins/tests/limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use ebonyloft_standins::fleet::runner::{BackendSpec, Fault};
+use ebonyloft_standins::fleet::backend::{BackendSpec, Fault};
 use ebonyloft_standins::fleet::{
     CHECK, Fleet, FleetSpec, LOOKUP, ONCE_SUMMARY, SUMMARY, with_fleet,
 };
--- a/crates/standins/tests/zones.rs
+++ b/crates/standins/tests/zones.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use ebonyloft_standins::fleet::runner::BackendSpec;
+use ebonyloft_standins::fleet::backend::BackendSpec;
 use ebonyloft_standins::fleet::{
     CHECK, Fleet, FleetSpec, SUMMARY, config, eventually, store, with_fleet,
 };
