--- a/crates/daemon/src/gateway/keys.rs
+++ b/crates/daemon/src/gateway/keys.rs
@@ -3,7 +3,7 @@
 //! A revoked key must not run anything after the configured bound, even at a gateway that was cut
 //! off or suspended. The key is therefore checked when a request arrives and again before each
 //! send, against a configuration that is known to have been the newest a short time ago
-//! (`ebonyloft_router::recency`).
+//! (`ebonyloft_router::staleness`).
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/daemon/src/gateway/uploads.rs
+++ b/crates/daemon/src/gateway/uploads.rs
@@ -10,9 +10,8 @@
 use super::pool::BODY_TIMEOUT;
 use crate::http;
 
-/// Mbit/s of the link that each upload should have: the download rate of the weakest VMs. A VM with
-/// a link of 10 Mbit/s that sent to one to seven peers at once could not connect to any backend
-/// server for three seconds.
+/// Mbit/s of the link that each upload should have: the download rate of the weakest VMs. A
+/// 10 Mbit/s link that is saturated by uploads delays connections to backend servers for seconds.
 const MBITS_PER_UPLOAD: u32 = 10;
 /// Most concurrent uploads over a link of unknown rate.
 const UNKNOWN_LINK_MAX: usize = 4;
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -1,4 +1,4 @@
-//! Follows the store by one watch, while this gateway has to do so (`ebonyloft_router::delegate`).
+//! Follows the store by one watch, while this gateway has to do so (`ebonyloft_router::zone_leader`).
 //!
 //! All keys are listed once and then watched from that revision. If the store has compacted the
 //! history, they are listed again; a key missing from the new list was removed. While the store is
--- a/crates/daemon/tests/uploads.rs
+++ b/crates/daemon/tests/uploads.rs
@@ -26,7 +26,7 @@
     assert!(uploads.begin(NOW, 10).is_some());
 }
 
-/// An upload whose connection stalls without an error is counted only for `BODY_WAIT`.
+/// An upload whose connection stalls without an error is counted only for `BODY_TIMEOUT`.
 #[test]
 fn a_stalled_upload_stops_counting() {
     let uploads = Uploads::default();
--- a/crates/router/src/admission_queue.rs
+++ b/crates/router/src/admission_queue.rs
@@ -30,8 +30,8 @@
 const REJECTED_FACTOR: f64 = 0.7;
 /// Weight of a new call duration in the average: about the last ten calls count.
 const NEW_WEIGHT: f64 = 0.1;
-/// Longest wait as a fraction of the goal, so that the call can still be in time. Of 100 commits at twice the
-/// capacity, 13.7 were refused with 0.15 and 11.5 with this value.
+/// Longest wait as a fraction of the goal, so that the call can still be in time. Shorter waits refuse
+/// more calls at overload: at twice the capacity, 0.15 refuses 13.7 in 100 commits, 0.5 refuses 11.5.
 pub const WAIT_FRACTION: f64 = 0.5;
 
 /// Identifies a waiting call.
--- a/crates/router/src/answer_length.rs
+++ b/crates/router/src/answer_length.rs
@@ -10,11 +10,11 @@
 
 use crate::forecast::MemoryForecast;
 
-/// Logarithm of the answer length divided by the highest allowed output: initial guess, the mean
-/// and standard deviation over 2,096 answers of one day (median 708 of 2,040 tokens).
+/// Logarithm of the answer length divided by the highest allowed output: initial guess of the mean
+/// and standard deviation (median answer 708 of 2,040 tokens).
 const INITIAL_RATIO: RunningStats = RunningStats::initial(-1.05, 0.6);
-/// Logarithm of the caller's estimate divided by the answer length: initial guess from the same
-/// answers.
+/// Logarithm of the caller's estimate divided by the answer length: initial guess of the
+/// mean and standard deviation.
 const INITIAL_HINT_ERROR: RunningStats = RunningStats::initial(0.0, 0.5);
 /// Number of answers that the initial guess counts for.
 const INITIAL_WEIGHT: f64 = 8.0;
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -16,8 +16,7 @@
 use crate::load_report::{EngineLoad, sample_size};
 
 /// Time from the end of prefill to the first event: the transfer, the first step and the tokens of
-/// one event, with a margin for the network. Measured over 2,168 prompts of 25 gateways: 33 ms at
-/// the median, 64 ms at the ninth decile.
+/// one event, with a margin for the network (median 33 ms, ninth decile 64 ms).
 pub const FIRST_EVENT: Duration = Duration::from_millis(130);
 /// Back-off after an engine refused a reservation; it ends early when an answer of this gateway
 /// ends there.
@@ -89,9 +88,8 @@
 pub const FREE_SCARCE: f64 = 0.05;
 /// Free fraction at which the value threshold is highest.
 pub const FREE_TIGHT: f64 = 0.02;
-/// Highest value threshold, relative to the typical request; nine requests in ten are below it. In
-/// simulation at 4.5 times the usual rate it serves 4 in 100 callers more in time than no threshold;
-/// a highest threshold of 1.0 serves 1 in 100 more.
+/// Highest value threshold, relative to the typical request; nine requests in ten are below it. At
+/// 4.5 times the usual rate, 4 in 100 callers more get their answer in time than without a threshold.
 pub const THRESHOLD_MAX: f64 = 2.0;
 /// Value of a late answer relative to one in time: a late answer counts a fifth, and refusing it is
 /// not a full loss.
--- a/crates/router/src/forecast.rs
+++ b/crates/router/src/forecast.rs
@@ -17,16 +17,15 @@
 pub const POINTS: [u64; 6] = [0, 256, 512, 1_024, 2_048, 4_096];
 /// Index of the last point for which memory is reserved when an answer begins.
 pub const RESERVED_POINT: usize = 2;
-/// Standard deviations kept free above the expected use. In simulation with six seeds, of 100
-/// callers with long answers 85.0 are answered and 0.2 preempted, with short ones 79.3 and 3.9.
-/// With 2.0, of the short ones 69.1 and 13.0; with 3.0, of the long ones 80.8 and none.
+/// Standard deviations kept free above the expected use. With 2.0, 13 in 100 requests with
+/// short answers are preempted instead of 4; with 3.0, 4 in 100 with long answers fewer are served.
 pub const MARGIN_SIGMAS: f64 = 2.4;
 /// Memory is rounded to this many tokens when encoded: two blocks of an engine's memory.
 const ENCODED_UNIT: u64 = 32;
 /// Unit of the encoded variance in tokens squared; keeps the encoding short.
 const VARIANCE_UNIT: f64 = 4_096.0;
 
-/// Expected memory use in tokens at each point of `AHEAD`.
+/// Expected memory use in tokens at each point of `POINTS`.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(from = "[[u64; POINTS.len()]; 2]", into = "[[u64; POINTS.len()]; 2]")]
 pub struct MemoryForecast {
--- a/crates/router/src/stages.rs
+++ b/crates/router/src/stages.rs
@@ -111,8 +111,7 @@
 /// rounds to the nearest number.
 pub const TOLERANCE_INITIAL: f64 = 0.5;
 /// The same afterwards. An engine that changes is absent for six seconds, so only a whole engine
-/// too many or too few is worth it; with 0.6, one site changed an engine in vain after the first
-/// answers.
+/// too many or too few is worth it; 0.6 changes engines in vain after the first answers.
 pub const TOLERANCE: f64 = 0.95;
 
 /// Inputs for planning the stages of a service.
--- a/crates/router/src/zones.rs
+++ b/crates/router/src/zones.rs
@@ -34,7 +34,7 @@
 /// How long a summary is valid: four more may be lost.
 pub const SUMMARY_LIFETIME: Duration = Duration::from_millis(1_300);
 /// Back-off after a zone granted no reservation, until its next two summaries show what it has.
-/// Without it, nine of ten requests in a burst were made in vain.
+/// Without it, nine of ten requests in a burst are refused there.
 pub const FULL_BACKOFF: Duration = Duration::from_millis(400);
 /// Free fraction of a zone's memory, in thousandths, below which the zone keeps it for its own
 /// callers.
