--- a/crates/check/src/accounts/gateway.rs
+++ b/crates/check/src/accounts/gateway.rs
@@ -200,7 +200,7 @@
 }
 
 impl ReachabilityReports for View<'_> {
-    fn missing(&self, name: &str) -> Option<&UnreachableGateways> {
+    fn unreachable(&self, name: &str) -> Option<&UnreachableGateways> {
         match name == self.gateway.name {
             true => Some(self.own_unreachable),
             false => self.gateway.recent_gossip(self.now, name),
--- a/crates/check/src/answers/gateway.rs
+++ b/crates/check/src/answers/gateway.rs
@@ -102,7 +102,7 @@
 
     /// Decides how a request is treated, and starts the probe of a suspect.
     pub fn admit(&mut self, now: Timestamp, digest: RequestDigest) -> QuarantineState {
-        let standing = self.quarantine.standing(now, &digest);
+        let standing = self.quarantine.state(now, &digest);
         if standing == QuarantineState::Suspect {
             self.probes += 1;
             self.record(now, digest, Duration::ZERO, Fact::Trying(self.probes));
@@ -112,7 +112,7 @@
 
     /// Whether a request is confirmed to crash servers.
     pub fn is_confirmed(&self, now: Timestamp, digest: &RequestDigest) -> bool {
-        matches!(self.quarantine.standing(now, digest), QuarantineState::Confirmed(_))
+        matches!(self.quarantine.state(now, digest), QuarantineState::Confirmed(_))
     }
 
     /// Whether a request may be sent to a server.
@@ -126,22 +126,22 @@
     /// An attempt broke off.
     pub fn on_attempt_lost(&mut self, server: &Server, loss: LostAttempt) {
         let now = loss.at;
-        if self.registry.has_left(&server.id.name) || self.quarantine.is_healthy(now, &loss.content)
+        if self.registry.has_left(&server.id.name) || self.quarantine.is_healthy(now, &loss.digest)
         {
             return;
         }
         match self.mutant {
             Some(Mutant::LostEnds) => {
                 let fact = Fact::Ended(server.id.clone(), true);
-                return self.record(now, loss.content, Duration::ZERO, fact);
+                return self.record(now, loss.digest, Duration::ZERO, fact);
             }
             Some(Mutant::AllGuilty) => {
-                return self.record(now, loss.content, Duration::ZERO, Fact::Proved);
+                return self.record(now, loss.digest, Duration::ZERO, Fact::Proved);
             }
             _ => {}
         }
         if loss.early {
-            self.record(now, loss.content, Duration::ZERO, Fact::Lost(loss.number));
+            self.record(now, loss.digest, Duration::ZERO, Fact::Lost(loss.number));
         }
         self.lost_attempts.add(server, loss, STREAM_PROBE_DELAY);
     }
@@ -149,13 +149,13 @@
     /// A server incarnation is known to have crashed.
     pub fn on_crash(&mut self, now: Timestamp, id: &ServerId) {
         for loss in self.lost_attempts.on_crash(id) {
-            if self.quarantine.is_healthy(loss.at, &loss.content) {
+            if self.quarantine.is_healthy(loss.at, &loss.digest) {
                 continue;
             }
             let fact = Fact::Ended(id.clone(), loss.early);
-            self.record(now, loss.content, now.since(loss.at), fact);
+            self.record(now, loss.digest, now.since(loss.at), fact);
             if loss.early {
-                self.record(now, loss.content, Duration::ZERO, Fact::Over(loss.number));
+                self.record(now, loss.digest, Duration::ZERO, Fact::Over(loss.number));
             }
         }
     }
@@ -163,7 +163,7 @@
     /// A server incarnation answered something that was sent at `sent`.
     pub fn on_alive(&mut self, now: Timestamp, id: &ServerId, sent: Timestamp) {
         for loss in self.lost_attempts.on_answer(id, sent) {
-            self.record(now, loss.content, Duration::ZERO, Fact::Over(loss.number));
+            self.record(now, loss.digest, Duration::ZERO, Fact::Over(loss.number));
         }
     }
 
--- a/crates/check/src/answers/simulation.rs
+++ b/crates/check/src/answers/simulation.rs
@@ -558,7 +558,7 @@
             let first_output = attempt.began.map(|at| at.after(ms(30)));
             let early = first_output.is_none_or(|at| now < at.after(ms(1_000)));
             let loss =
-                LostAttempt { content: digest, early, sent: attempt.sent, at: now, number: n };
+                LostAttempt { digest: digest, early, sent: attempt.sent, at: now, number: n };
             let prefill = attempt.phase == Phase::Prefill;
             if !(prefill && self.spec.mutant == Some(Mutant::ReadingFree)) {
                 gateway.on_attempt_lost(&self.backends[attempt.server].server, loss);
--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -177,7 +177,7 @@
         // registration would never count as gone.
         let now = shared.now();
         if shared.store_state.borrow().is_trusted(now) {
-            for server in shared.roster.borrow_mut().remove_missing() {
+            for server in shared.registry.borrow_mut().remove_missing() {
                 tracing::info!(server, "backend server is gone: it was not registered again");
             }
         }
@@ -189,7 +189,7 @@
         shared.back_offs.borrow_mut().expire(now);
         quota::expire(&shared);
         shared.measure_memory();
-        let roster = shared.roster.borrow();
+        let roster = shared.registry.borrow();
         shared.plain_servers.borrow_mut().retain(|id| roster.get(id).is_some());
         shared.engines.borrow_mut().retain(|id| roster.get(id).is_some());
         shared.speed_factors.borrow_mut().retain(|id| roster.get(id).is_some());
--- a/crates/daemon/src/gateway/announcements.rs
+++ b/crates/daemon/src/gateway/announcements.rs
@@ -62,14 +62,14 @@
 /// each send.
 pub fn accepts_requests(shared: &Shared, id: &ServerId) -> bool {
     let paused = shared.back_offs.borrow().until(shared.now(), id).is_some();
-    !shared.roster.borrow().has_left(&id.name) && !paused
+    !shared.registry.borrow().has_left(&id.name) && !paused
 }
 
 /// The incarnation that answered: the one addressed, unless the answer names another.
 fn answering_server(shared: &Shared, to: &ServerId, reply: &Reply) -> Option<ServerId> {
     match &reply.instance {
         Some(name) if *name != to.name => {
-            let roster = shared.roster.borrow();
+            let roster = shared.registry.borrow();
             Some(roster.named(name).map_or_else(|| ServerId::new(name, 0), |s| s.id.clone()))
         }
         _ => (!reply.moved).then(|| to.clone()),
@@ -78,7 +78,7 @@
 
 /// Handles the announcement, by an answer or by a peer, that an incarnation of a server is leaving.
 pub fn on_leaving(shared: &Shared, id: &ServerId, from: &str) {
-    if !shared.roster.borrow_mut().on_leaving(id) {
+    if !shared.registry.borrow_mut().on_leaving(id) {
         return;
     }
     let SnapshotVersion { roster, age, .. } = shared.snapshot_version();
--- a/crates/daemon/src/gateway/call.rs
+++ b/crates/daemon/src/gateway/call.rs
@@ -131,7 +131,7 @@
             cause = Cause::Timeout;
             break;
         }
-        if quarantine::is_confirmed(shared, &intake.content) {
+        if quarantine::is_confirmed(shared, &intake.digest) {
             cause = Cause::Quarantined;
             break;
         }
@@ -196,7 +196,7 @@
 /// When the first of the untried servers is available again, if all of them are paused or at their
 /// limit.
 fn all_paused_until(shared: &Shared, intake: &Intake, tried: &[ServerId]) -> Option<Timestamp> {
-    let roster = shared.roster.borrow();
+    let roster = shared.registry.borrow();
     let untried = roster.ready(&intake.service).filter(|s| !tried.contains(&s.id));
     announcements::available_at(shared, untried)
 }
@@ -208,7 +208,7 @@
     now: Timestamp,
     tried: &[ServerId],
 ) -> Option<Server> {
-    let (node, roster) = (shared.node(), shared.roster.borrow());
+    let (node, roster) = (shared.node(), shared.registry.borrow());
     let servers =
         roster.ready(&intake.service).filter(|s| !announcements::is_unavailable(shared, &s.id));
     let plain = shared.plain_servers.borrow();
@@ -226,7 +226,7 @@
     let time_left = intake.ends_at.since(now);
     let mut after_loss = *progress;
     after_loss.record(AttemptOutcome::Lost);
-    let has_others = shared.roster.borrow().ready(&intake.service).count() > tried.len() + 1;
+    let has_others = shared.registry.borrow().ready(&intake.service).count() > tried.len() + 1;
     if after_loss.may_send() && has_others {
         return time_left.min(intake.route().goal.mul_f64(GIVE_UP_FRACTION));
     }
@@ -256,7 +256,7 @@
     let ms = now.since(sent).as_millis() as u64;
     let SnapshotVersion { config, roster, age } = shared.snapshot_version();
     tracing::info!(
-        id = intake.id(), content = %intake.content, server = %to.id, fate = ?outcome, ms,
+        id = intake.id(), content = %intake.digest, server = %to.id, fate = ?outcome, ms,
         running = load.map(|l| l.running), waiting = load.map(|l| l.waiting), config, roster,
         age, "sent"
     );
@@ -266,7 +266,7 @@
 /// Marks a server as gone after another one answered at its address.
 pub fn on_replaced(shared: &Shared, id: &ServerId) {
     quarantine::on_ended(shared, id, "address");
-    if shared.roster.borrow_mut().replaced(id) {
+    if shared.registry.borrow_mut().replaced(id) {
         tracing::info!(server = %id, "backend server is gone: another one answered at its address");
     }
 }
--- a/crates/daemon/src/gateway/gossip.rs
+++ b/crates/daemon/src/gateway/gossip.rs
@@ -87,7 +87,7 @@
 
 /// Checksum of the gossip state; zero if the state is empty.
 pub fn checksum(shared: &Shared) -> u64 {
-    let roster = shared.roster.borrow();
+    let roster = shared.registry.borrow();
     let leaving = roster.announced_leaving().fold(0, |sum, id| sum ^ id.number());
     shared.quarantine.borrow().checksum() ^ leaving ^ shared.limits.borrow().checksum()
 }
@@ -106,7 +106,7 @@
     let limits = shared.limits.borrow().updates();
     GossipState {
         words,
-        leaving: shared.roster.borrow().announced_leaving().cloned().collect(),
+        leaving: shared.registry.borrow().announced_leaving().cloned().collect(),
         limits,
     }
 }
--- a/crates/daemon/src/gateway/ingress.rs
+++ b/crates/daemon/src/gateway/ingress.rs
@@ -139,7 +139,7 @@
         }
         response
     };
-    let Some(config) = shared.config().filter(|_| shared.roster.borrow().is_complete()) else {
+    let Some(config) = shared.config().filter(|_| shared.registry.borrow().is_complete()) else {
         return Err(refuse(Cause::NotReady));
     };
     if req.headers().contains_key(CONTENT_LENGTH) && req.headers().contains_key(TRANSFER_ENCODING) {
@@ -279,7 +279,7 @@
         maybe_ran: Cell::new(false),
         arrivals: Cell::default(),
         caller,
-        content,
+        digest: content,
         body,
         config,
         route,
@@ -297,7 +297,7 @@
 /// Picks a service by weight, or another one of the route if that one has no ready server.
 fn choose_service(shared: &Shared, config: &Config, route: usize) -> Option<String> {
     let route = &config.routes[route];
-    let roster = shared.roster.borrow();
+    let roster = shared.registry.borrow();
     let chosen = routes::service(route, shared.random_fraction())?;
     let has_server = |name: &str| roster.ready(name).next().is_some();
     if has_server(chosen) {
--- a/crates/daemon/src/gateway/intake.rs
+++ b/crates/daemon/src/gateway/intake.rs
@@ -29,7 +29,7 @@
     /// What the caller's own headers say about the request.
     pub caller: CallerHeaders,
     /// Keyed digest of the request.
-    pub content: RequestDigest,
+    pub digest: RequestDigest,
     /// The complete body.
     pub body: Bytes,
     /// The account that its key belongs to, if any.
--- a/crates/daemon/src/gateway/limits.rs
+++ b/crates/daemon/src/gateway/limits.rs
@@ -65,7 +65,7 @@
 /// Applies a peer's report of a server's limit.
 pub fn on_report(shared: &Shared, report: &LimitUpdate, peer: &str) {
     // Ignored for a server that is already gone, since nothing would remove its limit again.
-    let known = shared.roster.borrow().get(&report.server).is_some();
+    let known = shared.registry.borrow().get(&report.server).is_some();
     if known && shared.limits.borrow_mut().on_update(shared.now(), report) {
         log_change(shared, report, peer);
     }
--- a/crates/daemon/src/gateway/orders.rs
+++ b/crates/daemon/src/gateway/orders.rs
@@ -63,7 +63,7 @@
 fn is_eligible(shared: &Shared) -> bool {
     shared.role.borrow().follows()
         && shared.config().is_some_and(|c| c.services.iter().any(|s| s.engine.is_some()))
-        && shared.roster.borrow().is_complete()
+        && shared.registry.borrow().is_complete()
 }
 
 async fn acquire(shared: &Shared) -> Result<Option<Leadership>, StoreError> {
@@ -156,7 +156,7 @@
     leadership: &Leadership,
 ) -> Option<(Order, Server)> {
     let config = shared.config()?;
-    let roster = shared.roster.borrow();
+    let roster = shared.registry.borrow();
     if shared.now() < roster.changed_at().after(REGISTRY_QUIET) {
         return None;
     }
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -196,7 +196,7 @@
 /// This gateway's access to the store, as its peers see it. A gateway that has not read the whole
 /// server registry yet is of no use to them.
 fn store_link(shared: &Shared) -> StoreLink {
-    let is_useful = shared.role.borrow().follows() && shared.roster.borrow().is_complete();
+    let is_useful = shared.role.borrow().follows() && shared.registry.borrow().is_complete();
     match is_useful {
         true => {
             shared.store_state.borrow().link(shared.now(), shared.node().bounds.staleness_bound())
@@ -225,7 +225,7 @@
             Ok(GossipMessage::Digest(summary)) => {
                 let ZoneSummary { config, roster, fleet, .. } = summary;
                 gossip::compare_checksum(&shared, &summary.name, from, summary.notes);
-                shared.zone_summaries.borrow_mut().hear(shared.now(), summary);
+                shared.zone_summaries.borrow_mut().on_summary(shared.now(), summary);
                 state_sync::fetch_newer(&shared, from, Versions { config, roster, fleet });
             }
             Ok(GossipMessage::Ask(ask)) => quota::serve(&shared, from, &ask),
@@ -249,9 +249,9 @@
     shared.back_off(&report.changing);
     let mut report = report;
     for summary in report.digests.drain(..).filter(|d| d.zone != shared.node().zone) {
-        shared.zone_summaries.borrow_mut().hear(shared.now(), summary);
+        shared.zone_summaries.borrow_mut().on_summary(shared.now(), summary);
     }
-    shared.load_reports.borrow_mut().hear(shared.now(), report);
+    shared.load_reports.borrow_mut().on_report(shared.now(), report);
     shared.update_role();
     state_sync::fetch_newer(shared, from, Versions { config, roster, fleet });
 }
--- a/crates/daemon/src/gateway/quarantine.rs
+++ b/crates/daemon/src/gateway/quarantine.rs
@@ -105,7 +105,7 @@
     let until = shared.now().after(INQUIRY_WAIT);
     let standing = loop {
         let now = shared.now();
-        let standing = shared.quarantine.borrow().standing(now, &intake.content);
+        let standing = shared.quarantine.borrow().state(now, &intake.digest);
         if !matches!(standing, QuarantineState::Held(_)) || now >= until {
             break standing;
         }
@@ -115,18 +115,18 @@
     let (cause, until) = match standing {
         QuarantineState::Free => return Ok(None),
         QuarantineState::Suspect => {
-            let probe = Probe { content: intake.content, number: shared.random_id() };
+            let probe = Probe { content: intake.digest, number: shared.random_id() };
             publish_fact(shared, probe.content, Fact::Trying(probe.number));
             return Ok(Some(probe));
         }
         QuarantineState::Held(until) => (Cause::Suspect, until),
         QuarantineState::Confirmed(until) => (Cause::Quarantined, until),
     };
-    let endings = shared.quarantine.borrow().crashes(&intake.content).len();
+    let endings = shared.quarantine.borrow().crashes(&intake.digest).len();
     let SnapshotVersion { config, roster, age } = shared.snapshot_version();
     let ms = until.since(now).as_millis() as u64;
     tracing::info!(
-        id = intake.id(), content = %intake.content, ?cause, endings, ms, config, roster, age,
+        id = intake.id(), content = %intake.digest, ?cause, endings, ms, config, roster, age,
         "request refused"
     );
     shared.metrics.count("gateway.quarantine.refused", 1);
@@ -136,7 +136,7 @@
 /// Is a request confirmed to crash servers? Checked again before each send, since the request may
 /// have waited.
 pub fn is_confirmed(shared: &Shared, content: &RequestDigest) -> bool {
-    let standing = shared.quarantine.borrow().standing(shared.now(), content);
+    let standing = shared.quarantine.borrow().state(shared.now(), content);
     matches!(standing, QuarantineState::Confirmed(_))
 }
 
@@ -166,17 +166,17 @@
 pub fn on_lost(shared: &Shared, intake: &Intake, sent: Sent<'_>) {
     let (now, server) = (shared.now(), sent.server);
     // A server that announced its leaving was not crashed by the request.
-    let is_leaving = shared.roster.borrow().has_left(&server.id.name);
-    if is_leaving || shared.quarantine.borrow().is_healthy(now, &intake.content) {
+    let is_leaving = shared.registry.borrow().has_left(&server.id.name);
+    if is_leaving || shared.quarantine.borrow().is_healthy(now, &intake.digest) {
         return;
     }
     let early = sent.run != RunStage::Advanced;
     let wait = if sent.run == RunStage::Call { CALL_PROBE_DELAY } else { STREAM_PROBE_DELAY };
     let number = shared.random_id();
-    let loss = LostAttempt { content: intake.content, early, sent: sent.at, at: now, number };
+    let loss = LostAttempt { digest: intake.digest, early, sent: sent.at, at: now, number };
     shared.lost_attempts.borrow_mut().add(server, loss, wait);
     if sent.run == RunStage::Begun {
-        publish_fact(shared, intake.content, Fact::Lost(number));
+        publish_fact(shared, intake.digest, Fact::Lost(number));
     }
     shared.background_waiters.wake_all();
 }
@@ -195,7 +195,7 @@
 pub fn on_outcome(shared: &Shared, intake: &Intake, sent: Sent<'_>, fate: AttemptOutcome) {
     match fate {
         AttemptOutcome::Lost => on_lost(shared, intake, sent),
-        AttemptOutcome::Answered(status) if status < 500 => on_served(shared, &intake.content),
+        AttemptOutcome::Answered(status) if status < 500 => on_served(shared, &intake.digest),
         AttemptOutcome::Answered(_)
         | AttemptOutcome::Moved
         | AttemptOutcome::Rejected
@@ -223,7 +223,7 @@
 pub fn on_alive(shared: &Shared, id: &ServerId, sent: Timestamp) {
     let cleared = shared.lost_attempts.borrow_mut().on_answer(id, sent);
     let early = cleared.iter().filter(|loss| loss.early);
-    early.for_each(|loss| publish_fact(shared, loss.content, Fact::Over(loss.number)));
+    early.for_each(|loss| publish_fact(shared, loss.digest, Fact::Over(loss.number)));
 }
 
 /// Handles the end of a server's incarnation that did not announce its leaving.
@@ -234,7 +234,7 @@
 
 /// Handles a registration that is gone, or that names another incarnation now.
 pub fn on_unregistered(shared: &Shared, name: &str) {
-    let current = shared.roster.borrow().named(name).map(|s| s.id.clone());
+    let current = shared.registry.borrow().named(name).map(|s| s.id.clone());
     let ended = shared.lost_attempts.borrow_mut().on_crash_except(name, current.as_ref());
     for (id, losses) in ended {
         record_crashes(shared, &id, losses, "registration");
@@ -250,18 +250,18 @@
 
 fn record_crashes(shared: &Shared, id: &ServerId, losses: Vec<LostAttempt>, how: &'static str) {
     for loss in losses {
-        if shared.quarantine.borrow().is_healthy(loss.at, &loss.content) {
+        if shared.quarantine.borrow().is_healthy(loss.at, &loss.digest) {
             continue;
         }
         let age = shared.now().since(loss.at).as_millis() as u64;
         tracing::info!(
-            content = %loss.content, server = %id, early = loss.early, how, age,
+            content = %loss.digest, server = %id, early = loss.early, how, age,
             "backend server crashed under a request"
         );
         let fact = Fact::Ended(id.clone(), loss.early);
-        publish(shared, QuarantineUpdate { content: loss.content, age, fact });
+        publish(shared, QuarantineUpdate { content: loss.digest, age, fact });
         if loss.early {
-            publish_fact(shared, loss.content, Fact::Over(loss.number));
+            publish_fact(shared, loss.digest, Fact::Over(loss.number));
         }
     }
 }
@@ -348,7 +348,7 @@
 fn upkeep(shared: &Shared) {
     let now = shared.now();
     for (server, loss) in shared.lost_attempts.borrow_mut().expire(now) {
-        tracing::info!(content = %loss.content, %server, "cannot tell whether the server crashed");
+        tracing::info!(content = %loss.digest, %server, "cannot tell whether the server crashed");
     }
     for content in shared.quarantine.borrow_mut().expire(now) {
         tracing::info!(%content, "suspicion of a request expired");
--- a/crates/daemon/src/gateway/quota.rs
+++ b/crates/daemon/src/gateway/quota.rs
@@ -354,7 +354,7 @@
 }
 
 impl ReachabilityReports for ObservedViews<'_> {
-    fn missing(&self, name: &str) -> Option<&UnreachableGateways> {
+    fn unreachable(&self, name: &str) -> Option<&UnreachableGateways> {
         if name == self.name {
             return Some(self.own);
         }
--- a/crates/daemon/src/gateway/send.rs
+++ b/crates/daemon/src/gateway/send.rs
@@ -65,9 +65,9 @@
         shared.pool.put_back(conn);
         return Err(AttemptOutcome::Unsent);
     }
-    if quarantine::is_confirmed(shared, &intake.content) {
+    if quarantine::is_confirmed(shared, &intake.digest) {
         tracing::info!(
-            id = intake.id(), content = %intake.content, server = %to.id,
+            id = intake.id(), content = %intake.digest, server = %to.id,
             "not sent: confirmed to crash servers"
         );
         shared.pool.put_back(conn);
--- a/crates/daemon/src/gateway/shared.rs
+++ b/crates/daemon/src/gateway/shared.rs
@@ -79,7 +79,7 @@
     /// The newest configuration received.
     pub config: RefCell<Option<Rc<Config>>>,
     /// The server registry: all known backend servers.
-    pub roster: RefCell<ServerRegistry>,
+    pub registry: RefCell<ServerRegistry>,
     /// When the configuration was last known to be the newest.
     pub config_staleness: RefCell<ConfigStaleness>,
     /// True if the store's newest configuration could not be decoded.
@@ -188,7 +188,7 @@
             pool,
             store,
             config: RefCell::default(),
-            roster: RefCell::default(),
+            registry: RefCell::default(),
             config_staleness: RefCell::default(),
             config_unreadable: Cell::default(),
             quota_owners: RefCell::default(),
@@ -287,7 +287,7 @@
 
     /// True if requests of callers can be served.
     pub fn is_ready(&self) -> bool {
-        !self.is_stopping() && self.config.borrow().is_some() && self.roster.borrow().is_complete()
+        !self.is_stopping() && self.config.borrow().is_some() && self.registry.borrow().is_complete()
     }
 
     /// True once the process was told to stop.
@@ -339,7 +339,7 @@
         let Some(config) = self.config() else {
             return;
         };
-        let roster = self.roster.borrow();
+        let roster = self.registry.borrow();
         let memory = config.services.iter().filter_map(|service| {
             let tokens = service.engine.as_ref()?.tokens;
             Some(tokens * roster.ready(&service.name).count() as u64)
@@ -360,7 +360,7 @@
             (ahead.len(), ahead.iter().filter(|n| reaches_store(n)).count());
         // A gateway without a complete server registry reads it from the store, which is faster
         // than to wait for peers.
-        let reaching = if self.roster.borrow().is_complete() { reaching } else { 0 };
+        let reaching = if self.registry.borrow().is_complete() { reaching } else { 0 };
         let mut role = self.role.borrow_mut();
         let before = role.follows();
         role.update(now, ahead_count, reaching);
@@ -375,7 +375,7 @@
         }
         if !role.follows() {
             let link = shares.best_link(now);
-            if let Some(at) = shares.known_at(now, self.roster.borrow().revision()) {
+            if let Some(at) = shares.known_at(now, self.registry.borrow().revision()) {
                 self.store_state.borrow_mut().known(at);
             }
             if self.store_state.borrow_mut().adopt(now, link) {
@@ -417,7 +417,7 @@
         let known_at = self.store_state.borrow().known_at();
         SnapshotVersion {
             config: self.config.borrow().as_ref().map_or(0, |c| c.version),
-            roster: self.roster.borrow().revision(),
+            roster: self.registry.borrow().revision(),
             age: self.now().since(known_at).as_millis() as u64,
         }
     }
--- a/crates/daemon/src/gateway/state_sync.rs
+++ b/crates/daemon/src/gateway/state_sync.rs
@@ -55,7 +55,7 @@
 pub fn versions(shared: &Shared) -> Versions {
     Versions {
         config: shared.config().map_or(0, |c| c.version),
-        roster: shared.roster.borrow().revision(),
+        roster: shared.registry.borrow().revision(),
         fleet: shared.fleet.borrow().revision(),
     }
 }
@@ -134,7 +134,7 @@
         shared.fleet.borrow_mut().replace(now, fleet, revision);
     }
     let revision = update.versions.roster;
-    if revision <= shared.roster.borrow().revision() {
+    if revision <= shared.registry.borrow().revision() {
         return;
     }
     // A gateway that can't reach the store relies on the peer's `settled` flag alone.
@@ -143,10 +143,10 @@
     let effects = match update.roster {
         None => return,
         Some(RegistryUpdate::All(list)) => {
-            shared.roster.borrow_mut().replace(list, revision, settled)
+            shared.registry.borrow_mut().replace(list, revision, settled)
         }
         Some(RegistryUpdate::Changes(changes)) => {
-            shared.roster.borrow_mut().catch_up(changes, revision, settled)
+            shared.registry.borrow_mut().catch_up(changes, revision, settled)
         }
     };
     for (name, effect) in effects {
@@ -202,7 +202,7 @@
 
 fn build_update(shared: &Shared, theirs: Versions) -> StateUpdate {
     let versions = versions(shared);
-    let (roster, fleet) = (shared.roster.borrow(), shared.fleet.borrow());
+    let (roster, fleet) = (shared.registry.borrow(), shared.fleet.borrow());
     let servers = || match roster.since(theirs.roster) {
         Some(changes) => RegistryUpdate::Changes(changes),
         None => RegistryUpdate::All(roster.changes()),
--- a/crates/daemon/src/gateway/stream.rs
+++ b/crates/daemon/src/gateway/stream.rs
@@ -144,7 +144,7 @@
     let mut failure = None;
     let mut cause = Cause::NoServer;
     while state.progress.may_send() {
-        if quarantine::is_confirmed(shared, &intake.content) {
+        if quarantine::is_confirmed(shared, &intake.digest) {
             cause = Cause::Quarantined;
             break;
         }
@@ -175,7 +175,7 @@
         state.open_attempt = None;
         quarantine::on_outcome(shared, intake, Sent { server: &server, run, at: started_at }, fate);
         tracing::info!(
-            id = intake.id(), content = %intake.content, server = %server.id, ?fate,
+            id = intake.id(), content = %intake.digest, server = %server.id, ?fate,
             events = splitter.count(), last = splitter.last_id(), "stream attempt ended"
         );
         if matches!(fate, AttemptOutcome::Answered(200)) {
@@ -208,7 +208,7 @@
         }
         splitter.discard_incomplete();
         if (fate, run) == (AttemptOutcome::Lost, RunStage::Begun) {
-            quarantine::wait_for_inquiry(shared, &intake.content).await;
+            quarantine::wait_for_inquiry(shared, &intake.digest).await;
         }
     }
     match failure {
--- a/crates/daemon/src/gateway/stream/admission.rs
+++ b/crates/daemon/src/gateway/stream/admission.rs
@@ -93,7 +93,7 @@
 /// When the first decode engine accepts requests again, if all that could be asked have asked for
 /// a back-off. Engines of other zones count too, since this zone's gateways may ask those zones.
 fn all_backed_off_until(shared: &Shared, intake: &Intake, tried: &[ServerId]) -> Option<Timestamp> {
-    let roster = shared.roster.borrow();
+    let roster = shared.registry.borrow();
     let engines = roster.ready(&intake.service).filter(|s| s.stage == Some(Stage::Decode));
     let left = engines.filter(|s| !tried.contains(&s.id));
     announcements::available_at(shared, left)
@@ -121,7 +121,7 @@
         learned.shape.observe(prompt as f64, growth.length());
     }
     let memory = growth.memory_forecast(prompt, state.generated);
-    let gives = learned.usual.gives(&growth, prompt);
+    let gives = learned.usual.value(&growth, prompt);
     Demand { memory, first_by, ends_at: intake.ends_at, value: gives, begun: resumed }
 }
 
@@ -135,14 +135,14 @@
 ) -> AdmissionDecision {
     let read_at = prefill::predicted_ready_at(shared, intake, state, now);
     let entries = shared.gateways_in_scope();
-    let roster = shared.roster.borrow();
+    let roster = shared.registry.borrow();
     let servers =
         decode_engines(shared, &roster, &intake.service).filter(|s| !tried.contains(&s.id));
     let shares = shared.load_reports.borrow();
     let ticket = state.ticket.expect("a queued request has a ticket");
     let work = |id: &ServerId| shares.work(now, id);
     let view = AdmissionContext { engine: spec, read_at, entries };
-    shared.engines.borrow().advise(now, ticket, &view, servers, work, || shared.random_fraction())
+    shared.engines.borrow().decide(now, ticket, &view, servers, work, || shared.random_fraction())
 }
 
 /// True if this zone's engines can't serve the request now.
@@ -155,7 +155,7 @@
     now: Timestamp,
 ) -> bool {
     let read_at = prefill::predicted_ready_at(shared, intake, state, now);
-    let (roster, shares) = (shared.roster.borrow(), shared.load_reports.borrow());
+    let (roster, shares) = (shared.registry.borrow(), shared.load_reports.borrow());
     let view = AdmissionContext { engine: spec, read_at, entries: shared.gateways_in_scope() };
     let servers = decode_engines(shared, &roster, &intake.service);
     let work = |id: &ServerId| shares.work(now, id);
@@ -181,7 +181,7 @@
 
 /// Free fraction of the memory of all decode engines that this gateway uses.
 pub fn free_fraction(shared: &Shared, service: &str, spec: &Engine) -> f64 {
-    let (now, roster) = (shared.now(), shared.roster.borrow());
+    let (now, roster) = (shared.now(), shared.registry.borrow());
     let shares = shared.load_reports.borrow();
     let servers: Vec<&Server> = decode_engines(shared, &roster, service).collect();
     let engines = shared.engines.borrow();
@@ -191,7 +191,7 @@
 /// Number of typical requests that fit into the engines that this gateway uses.
 pub fn free_slots(shared: &Shared, service: &str, spec: &Engine) -> u32 {
     let usual = shared.service_estimates(service).shape.memory();
-    let (now, roster) = (shared.now(), shared.roster.borrow());
+    let (now, roster) = (shared.now(), shared.registry.borrow());
     let shares = shared.load_reports.borrow();
     let servers: Vec<&Server> = decode_engines(shared, &roster, service).collect();
     let engines = shared.engines.borrow();
@@ -214,7 +214,7 @@
     memory: MemoryForecast,
     growth: LengthForecast,
 ) -> Option<Server> {
-    let server = shared.roster.borrow().get(id).cloned()?;
+    let server = shared.registry.borrow().get(id).cloned()?;
     state.reservation =
         Some(Reservation { server: server.clone(), hold_id: None, memory, growth, remote: None });
     let hold = reserve(shared, spec, &server, memory).await;
--- a/crates/daemon/src/gateway/stream/incoming.rs
+++ b/crates/daemon/src/gateway/stream/incoming.rs
@@ -154,7 +154,7 @@
     view: &AdmissionContext<'_>,
 ) -> Option<Server> {
     let (now, roster, shares) =
-        (shared.now(), shared.roster.borrow(), shared.load_reports.borrow());
+        (shared.now(), shared.registry.borrow(), shared.load_reports.borrow());
     let servers = admission::decode_engines(shared, &roster, service);
     let work = |id: &ServerId| shares.work(now, id);
     let engines = shared.engines.borrow();
--- a/crates/daemon/src/gateway/stream/prefill.rs
+++ b/crates/daemon/src/gateway/stream/prefill.rs
@@ -107,7 +107,7 @@
     now: Timestamp,
     entries: usize,
 ) -> Option<(Server, Timestamp)> {
-    let (roster, engines) = (shared.roster.borrow(), shared.engines.borrow());
+    let (roster, engines) = (shared.registry.borrow(), shared.engines.borrow());
     let own = shared.zone();
     let prefill_engines = roster
         .ready(service)
@@ -117,7 +117,7 @@
     let (shares, paces) = (shared.load_reports.borrow(), shared.speed_factors.borrow());
     let work = |id: &_| engines.own_load(id).plus(shares.work(now, id));
     let learned = shared.service_estimates(service);
-    let choice = ChoiceContext { paces: &paces, reading: &learned.reading, prompt, zone, entries };
+    let choice = ChoiceContext { speed_factors: &paces, reading: &learned.reading, prompt, zone, entries };
     let picked = prefill::pick(now, prefill_engines, work, &choice, || shared.random_fraction());
     picked.map(|(s, at)| (s.clone(), at))
 }
--- a/crates/daemon/src/gateway/watch.rs
+++ b/crates/daemon/src/gateway/watch.rs
@@ -111,7 +111,7 @@
     sink: &dyn Sink,
 ) -> Result<u64, StoreError> {
     // A gateway without a complete registry sends no requests, so it needs no second watch.
-    let known = shared.roster.borrow().is_complete();
+    let known = shared.registry.borrow().is_complete();
     let known_at = shared.now();
     let page = roster_watch::during(shared, None, known, shared.store.list(prefix, age)).await?;
     sink.replace(page.items, page.revision);
@@ -258,7 +258,7 @@
     fn replace(&self, items: Vec<Item>, revision: u64) {
         let list: Vec<Change> = items.iter().map(change).collect();
         let settled = self.settled();
-        let effects = self.0.roster.borrow_mut().replace(list, revision, settled);
+        let effects = self.0.registry.borrow_mut().replace(list, revision, settled);
         for (name, effect) in effects {
             apply_effect(&self.0, &name, effect, revision);
         }
@@ -269,7 +269,7 @@
         let change = change(&item);
         let (name, revision) = (change.name.clone(), change.revision);
         let settled = self.settled();
-        let effect = self.0.roster.borrow_mut().apply(change, settled);
+        let effect = self.0.registry.borrow_mut().apply(change, settled);
         apply_effect(&self.0, &name, effect, revision);
         self.0.wake_all();
     }
@@ -299,16 +299,16 @@
         return;
     }
     if effect != Effect::Changed {
-        shared.roster.borrow_mut().note_change(shared.now());
+        shared.registry.borrow_mut().note_change(shared.now());
     }
-    let known = shared.roster.borrow().named(name).map(|s| (s.addr, s.id.born));
+    let known = shared.registry.borrow().named(name).map(|s| (s.addr, s.id.born));
     if let (Effect::Reborn, Some((addr, _))) = (effect, known) {
         shared.pool.close_idle(addr);
     }
     if matches!(effect, Effect::Gone | Effect::Reborn) {
         quarantine::on_unregistered(shared, name);
     }
-    let joined_server = shared.roster.borrow().named(name).map(|s| (s.addr, s.id.clone()));
+    let joined_server = shared.registry.borrow().named(name).map(|s| (s.addr, s.id.clone()));
     if let (Effect::Joined, Some((addr, id))) = (effect, joined_server) {
         quarantine::on_registered(shared, addr, &id);
     }
--- a/crates/router/src/answer_length.rs
+++ b/crates/router/src/answer_length.rs
@@ -178,7 +178,7 @@
     /// Returns a request's value for the memory that it is expected to take, relative to the
     /// average request. An answer of twice the length takes more memory for twice the time, but is
     /// worth less than twice as much to its caller.
-    pub fn gives(&self, growth: &LengthForecast, prompt: u64) -> f64 {
+    pub fn value(&self, growth: &LengthForecast, prompt: u64) -> f64 {
         let value = FIXED_VALUE + (1.0 - FIXED_VALUE) * growth.size(prompt) / self.size.max(1.0);
         value * self.cost / growth.cost(prompt).max(1.0)
     }
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -207,7 +207,7 @@
 
     /// Decides what a waiting request should do now; `work` is the peers' load at an engine, `draw`
     /// is uniform in 0..1.
-    pub fn advise<'a>(
+    pub fn decide<'a>(
         &self,
         now: Timestamp,
         ticket: Ticket,
--- a/crates/router/src/load_report.rs
+++ b/crates/router/src/load_report.rs
@@ -213,7 +213,7 @@
 
 impl LoadReports {
     /// Stores a load report; false when it is older than the one known.
-    pub fn hear(&mut self, now: Timestamp, share: LoadReport) -> bool {
+    pub fn on_report(&mut self, now: Timestamp, share: LoadReport) -> bool {
         if let Some(peer) = self.peers.get(&share.name)
             && (peer.share.life, peer.share.seq) >= (share.life, share.seq)
         {
--- a/crates/router/src/lost_attempts.rs
+++ b/crates/router/src/lost_attempts.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LostAttempt {
     /// Digest of the request.
-    pub content: RequestDigest,
+    pub digest: RequestDigest,
     /// It broke off soon after its start.
     pub early: bool,
     /// When it was sent.
@@ -193,7 +193,7 @@
     /// Whether an attempt of this request is under investigation.
     pub fn is_investigated(&self, content: &RequestDigest) -> bool {
         self.investigations.values().any(|investigation| {
-            investigation.attempts.iter().any(|attempt| attempt.content == *content)
+            investigation.attempts.iter().any(|attempt| attempt.digest == *content)
         })
     }
 }
--- a/crates/router/src/prefill.rs
+++ b/crates/router/src/prefill.rs
@@ -53,7 +53,7 @@
 /// Inputs for choosing a prefill engine.
 pub struct ChoiceContext<'a> {
     /// Speed factor of each engine.
-    pub paces: &'a SpeedFactors,
+    pub speed_factors: &'a SpeedFactors,
     /// Prefill speed of the service's engines.
     pub reading: &'a PrefillSpeed,
     /// Tokens of the prompt.
@@ -82,7 +82,7 @@
         if w.reads >= s.slots.max(1) {
             return None;
         }
-        let took = choice.reading.time(w, choice.prompt).mul_f64(choice.paces.of(&s.id));
+        let took = choice.reading.time(w, choice.prompt).mul_f64(choice.speed_factors.of(&s.id));
         let penalty = if s.zone == choice.zone { Duration::ZERO } else { CROSS_ZONE_PENALTY };
         let extra = penalty + JITTER.mul_f64(*draw);
         Some((now.after(took), now.after(took + extra), *s))
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -190,7 +190,7 @@
 
 impl Quarantine {
     /// How a request is treated.
-    pub fn standing(&self, now: Timestamp, digest: &RequestDigest) -> QuarantineState {
+    pub fn state(&self, now: Timestamp, digest: &RequestDigest) -> QuarantineState {
         self.rows.get(digest).map_or(QuarantineState::Free, |row| row.state(now))
     }
 
--- a/crates/router/src/quota/ownership.rs
+++ b/crates/router/src/quota/ownership.rs
@@ -27,7 +27,7 @@
 /// Access to the unreachable gateways that each gateway reports.
 pub trait ReachabilityReports {
     /// Gateways that `name` can't reach; `None` without a recent report from it.
-    fn missing(&self, name: &str) -> Option<&UnreachableGateways>;
+    fn unreachable(&self, name: &str) -> Option<&UnreachableGateways>;
 }
 
 /// Cached ranks of gateways for one edition of the gateway list.
@@ -83,7 +83,7 @@
         };
         let all = fleet.all();
         let count =
-            all.keys().filter_map(|name| reports.missing(name)).filter(|m| asks_here(m)).count();
+            all.keys().filter_map(|name| reports.unreachable(name)).filter(|m| asks_here(m)).count();
         count as f64 / all.len().max(1) as f64
     }
 }
--- a/crates/router/src/zones.rs
+++ b/crates/router/src/zones.rs
@@ -144,7 +144,7 @@
 impl ZoneSummaries {
     /// Stores a summary, received from its sender or relayed; false when it is not newer than the
     /// one known.
-    pub fn hear(&mut self, now: Timestamp, digest: ZoneSummary) -> bool {
+    pub fn on_summary(&mut self, now: Timestamp, digest: ZoneSummary) -> bool {
         if let Some((_, before)) = self.summaries.get(&digest.name)
             && (before.life, before.seq) >= (digest.life, digest.seq)
         {
--- a/crates/router/tests/delegate.rs
+++ b/crates/router/tests/delegate.rs
@@ -161,7 +161,7 @@
 #[test]
 fn a_silent_zone_leader_does_not_count() {
     let mut shares = LoadReports::default();
-    shares.hear(NOW, LoadReport { name: "a".into(), seq: 1, link: HEARD, ..LoadReport::default() });
+    shares.on_report(NOW, LoadReport { name: "a".into(), seq: 1, link: HEARD, ..LoadReport::default() });
     assert_eq!(shares.link(NOW, "a"), Some(HEARD));
     assert_eq!(shares.link(NOW.after(LEADER_TIMEOUT), "a"), None);
     assert_eq!(shares.best_link(NOW.after(LEADER_TIMEOUT)), StoreLink::Indirect);
@@ -174,7 +174,7 @@
         [StoreLink::Indirect, StoreLink::Away, StoreLink::Heard { settles: 900, age: 0 }, HEARD];
     for (n, link) in links.into_iter().enumerate() {
         shares
-            .hear(NOW, LoadReport { name: format!("p{n}"), seq: 1, link, ..LoadReport::default() });
+            .on_report(NOW, LoadReport { name: format!("p{n}"), seq: 1, link, ..LoadReport::default() });
         assert_eq!(shares.best_link(NOW), link);
     }
 }
@@ -225,7 +225,7 @@
     let peers =
         [("a", 9, link(400)), ("b", 8, link(300)), ("c", 10, link(0)), ("d", 9, StoreLink::Away)];
     for (name, roster, link) in peers {
-        shares.hear(
+        shares.on_report(
             NOW,
             LoadReport { name: name.into(), seq: 1, roster, link, ..LoadReport::default() },
         );
--- a/crates/router/tests/engines.rs
+++ b/crates/router/tests/engines.rs
@@ -67,7 +67,7 @@
     peers: EngineLoad,
 ) -> AdmissionDecision {
     let view = AdmissionContext { engine: &spec(), read_at, entries: 4 };
-    engines.advise(at, ticket, &view, servers.iter(), |_| peers, || 0.5)
+    engines.decide(at, ticket, &view, servers.iter(), |_| peers, || 0.5)
 }
 
 #[test]
@@ -260,7 +260,7 @@
 /// The decision for a request while memory is scarce.
 fn advise_scarce(engines: &EngineAdmission, ticket: Ticket) -> AdmissionDecision {
     let view = AdmissionContext { engine: &spec(), read_at: after(100), entries: 4 };
-    engines.advise(NOW, ticket, &view, servers(20).iter(), scarce, || 0.5)
+    engines.decide(NOW, ticket, &view, servers(20).iter(), scarce, || 0.5)
 }
 
 /// A request of low value leaves scarce memory to others.
@@ -292,7 +292,7 @@
 #[test]
 fn a_shorter_answer_has_a_higher_value_for_its_memory() {
     let (lengths, usual) = (AnswerLengths::default(), TypicalRequest::default());
-    let gives = |hint: u64, prompt: u64| usual.gives(&lengths.expect(2_040, Some(hint)), prompt);
+    let gives = |hint: u64, prompt: u64| usual.value(&lengths.expect(2_040, Some(hint)), prompt);
     let middle = gives(740, 3_200);
     assert!((0.9..1.15).contains(&middle), "{middle}");
     assert!(gives(200, 3_200) > 1.5 * middle);
--- a/crates/router/tests/load/world.rs
+++ b/crates/router/tests/load/world.rs
@@ -228,7 +228,7 @@
             return f64::INFINITY;
         }
         TypicalRequest::default()
-            .gives(&AnswerLengths::default().expect(OUTPUT_MAX, Some(hint)), prompt)
+            .value(&AnswerLengths::default().expect(OUTPUT_MAX, Some(hint)), prompt)
     }
 
     /// Returns the prefill engine that would finish first, and when, as far as this gateway knows.
@@ -241,7 +241,7 @@
         let paces = SpeedFactors::default();
         let reading = PrefillSpeed::default();
         let choice =
-            ChoiceContext { paces: &paces, reading: &reading, prompt, zone: "z", entries: 4 };
+            ChoiceContext { speed_factors: &paces, reading: &reading, prompt, zone: "z", entries: 4 };
         let picked =
             prefill::pick(self.now, prefill_engines.iter(), work, &choice, || rng.random());
         let (server, at) = picked.unwrap_or((&prefill_engines[0], self.now.after(CALLER_TIMEOUT)));
@@ -275,7 +275,7 @@
         let work = |id: &ServerId| e.shares.work(self.now, id);
         let decode_engines = self.servers[self.plan.prefill_engines..].iter();
         let view = AdmissionContext { engine: &self.spec, read_at, entries: 4 };
-        let advice = e.engines.advise(self.now, ticket, &view, decode_engines, work, || draw);
+        let advice = e.engines.decide(self.now, ticket, &view, decode_engines, work, || draw);
         match advice {
             AdmissionDecision::Ask(id) => {
                 let decode_engine = self.index(&id);
@@ -374,7 +374,7 @@
             .collect();
         for (i, e) in self.entries.iter_mut().enumerate() {
             for share in shares.iter().filter(|s| s.name != format!("e{i}")) {
-                e.shares.hear(self.now, share.clone());
+                e.shares.on_report(self.now, share.clone());
             }
         }
     }
--- a/crates/router/tests/losses.rs
+++ b/crates/router/tests/losses.rs
@@ -29,7 +29,7 @@
 
 fn loss(content: u64, at: Timestamp) -> LostAttempt {
     LostAttempt {
-        content: RequestDigest(content, 0),
+        digest: RequestDigest(content, 0),
         early: true,
         sent: at.before(RUN),
         at,
--- a/crates/router/tests/memory.rs
+++ b/crates/router/tests/memory.rs
@@ -172,7 +172,7 @@
         let rng = &mut self.rng;
         let none = |_: &ServerId| EngineLoad::default();
         let advice =
-            self.engines.advise(now, ticket, &view, self.servers.iter(), none, || rng.random());
+            self.engines.decide(now, ticket, &view, self.servers.iter(), none, || rng.random());
         self.engines.leave(ticket);
         let AdmissionDecision::Ask(id) = advice else {
             self.outcome.refused += u32::from(counts);
--- a/crates/router/tests/quarantine.rs
+++ b/crates/router/tests/quarantine.rs
@@ -29,14 +29,14 @@
 #[test]
 fn three_early_crashes_confirm_a_request() {
     let mut all = Quarantine::default();
-    assert_eq!(all.standing(NOW, &BAD), QuarantineState::Free);
+    assert_eq!(all.state(NOW, &BAD), QuarantineState::Free);
     let changes = apply(&mut all, &[crash("a", true), crash("b", true)]);
     assert_eq!(changes, [Change::Suspected, Change::Suspected]);
     assert!(all.is_nearly_confirmed(&BAD));
-    assert_eq!(all.standing(NOW, &BAD), QuarantineState::Suspect);
+    assert_eq!(all.state(NOW, &BAD), QuarantineState::Suspect);
     assert_eq!(apply(&mut all, &[crash("c", true)]), [Change::Confirmed]);
-    assert_eq!(all.standing(NOW, &BAD), QuarantineState::Confirmed(NOW.after(CONFIRMED_TTL)));
-    assert_eq!(all.standing(NOW, &RequestDigest(7, 8)), QuarantineState::Free);
+    assert_eq!(all.state(NOW, &BAD), QuarantineState::Confirmed(NOW.after(CONFIRMED_TTL)));
+    assert_eq!(all.state(NOW, &RequestDigest(7, 8)), QuarantineState::Free);
 }
 
 /// Each gateway that had the request at the crashed server observes the same crash, and all of them report
@@ -45,7 +45,7 @@
 fn a_crash_counts_once_whichever_gateways_report_it() {
     let mut all = Quarantine::default();
     apply(&mut all, &[crash("a", true), crash("a", true), crash("a", true), crash("b", true)]);
-    assert_eq!(all.standing(NOW, &BAD), QuarantineState::Suspect);
+    assert_eq!(all.state(NOW, &BAD), QuarantineState::Suspect);
     assert_eq!(all.crashes(&BAD).len(), 2);
 }
 
@@ -55,7 +55,7 @@
     let mut all = Quarantine::default();
     apply(&mut all, &["a", "b", "c", "d"].map(|s| crash(s, false)));
     // It is not probed either.
-    assert_eq!(all.standing(NOW, &BAD), QuarantineState::Free);
+    assert_eq!(all.state(NOW, &BAD), QuarantineState::Free);
     assert_eq!(apply(&mut all, &[crash("e", false)]), [Change::Confirmed]);
 }
 
@@ -63,12 +63,12 @@
 fn a_suspect_is_probed_by_one_gateway_at_a_time() {
     let mut all = Quarantine::default();
     apply(&mut all, &[crash("a", true), Fact::Trying(1)]);
-    assert_eq!(all.standing(NOW, &BAD), QuarantineState::Held(NOW.after(PROBE_TIMEOUT)));
+    assert_eq!(all.state(NOW, &BAD), QuarantineState::Held(NOW.after(PROBE_TIMEOUT)));
     apply(&mut all, &[Fact::Over(1)]);
-    assert_eq!(all.standing(NOW, &BAD), QuarantineState::Suspect);
+    assert_eq!(all.state(NOW, &BAD), QuarantineState::Suspect);
     apply(&mut all, &[Fact::Trying(2)]);
     assert_eq!(
-        all.standing(NOW.after(PROBE_TIMEOUT), &BAD),
+        all.state(NOW.after(PROBE_TIMEOUT), &BAD),
         QuarantineState::Suspect,
         "the result of the probe was lost"
     );
@@ -78,9 +78,9 @@
 fn a_lost_attempt_holds_others_back_until_it_is_explained() {
     let mut all = Quarantine::default();
     apply(&mut all, &[Fact::Lost(1)]);
-    assert!(matches!(all.standing(NOW, &BAD), QuarantineState::Held(_)));
+    assert!(matches!(all.state(NOW, &BAD), QuarantineState::Held(_)));
     apply(&mut all, &[Fact::Over(1)]);
-    assert_eq!(all.standing(NOW, &BAD), QuarantineState::Free, "a lost attempt alone is no crash");
+    assert_eq!(all.state(NOW, &BAD), QuarantineState::Free, "a lost attempt alone is no crash");
 }
 
 /// The end of one investigation must not admit a request that another one still investigates.
@@ -88,11 +88,11 @@
 fn the_end_of_one_investigation_ends_no_other() {
     let mut all = Quarantine::default();
     apply(&mut all, &[Fact::Lost(1), Fact::Lost(2), crash("a", true), Fact::Over(1)]);
-    assert!(matches!(all.standing(NOW, &BAD), QuarantineState::Held(_)));
+    assert!(matches!(all.state(NOW, &BAD), QuarantineState::Held(_)));
     apply(&mut all, &[Fact::Over(2)]);
-    assert_eq!(all.standing(NOW, &BAD), QuarantineState::Suspect);
+    assert_eq!(all.state(NOW, &BAD), QuarantineState::Suspect);
     apply(&mut all, &[Fact::Trying(3), Fact::Over(2)]);
-    assert!(matches!(all.standing(NOW, &BAD), QuarantineState::Held(_)));
+    assert!(matches!(all.state(NOW, &BAD), QuarantineState::Held(_)));
 }
 
 #[test]
@@ -103,7 +103,7 @@
     assert_eq!(all.apply(later, &update(BAD, Fact::Served)), Change::Cleared);
     let late = QuarantineUpdate { content: BAD, age: 2_000, fact: crash("c", true) };
     assert_eq!(all.apply(later, &late), Change::Nothing);
-    assert_eq!(all.standing(later, &BAD), QuarantineState::Free);
+    assert_eq!(all.state(later, &BAD), QuarantineState::Free);
     // Later crashes count again.
     let after = later.after(Duration::from_secs(1));
     assert_eq!(all.apply(after, &update(BAD, crash("d", true))), Change::Suspected);
@@ -130,16 +130,16 @@
 fn a_confirmation_holds_until_its_deadline_or_release() {
     let mut all = Quarantine::default();
     apply(&mut all, &[Fact::Proved, Fact::Served]);
-    assert!(matches!(all.standing(NOW, &BAD), QuarantineState::Confirmed(_)));
+    assert!(matches!(all.state(NOW, &BAD), QuarantineState::Confirmed(_)));
     let end = NOW.after(CONFIRMED_TTL);
     assert_eq!(all.clone().expire(end), [BAD]);
-    assert_eq!(all.standing(end, &BAD), QuarantineState::Free);
+    assert_eq!(all.state(end, &BAD), QuarantineState::Free);
     let later = NOW.after(Duration::from_secs(1));
     assert_eq!(all.apply(later, &update(BAD, Fact::Released)), Change::Cleared);
     // The store may still hold the old confirmation.
     let old = QuarantineUpdate { content: BAD, age: 1_000, fact: Fact::Proved };
     assert_eq!(all.apply(later, &old), Change::Nothing);
-    assert_eq!(all.standing(later, &BAD), QuarantineState::Free);
+    assert_eq!(all.state(later, &BAD), QuarantineState::Free);
 }
 
 #[test]
@@ -169,7 +169,7 @@
     }
     assert!(
         (0..100).all(|n| matches!(
-            all.standing(NOW, &RequestDigest(n, 1)),
+            all.state(NOW, &RequestDigest(n, 1)),
             QuarantineState::Confirmed(_)
         ))
     );
@@ -222,7 +222,7 @@
         prop_assert_eq!(a.checksum(), b.checksum());
         for content in 0..3 {
             let content = RequestDigest(content, 0);
-            let confirmed = |q: &Quarantine| matches!(q.standing(later, &content), QuarantineState::Confirmed(_));
+            let confirmed = |q: &Quarantine| matches!(q.state(later, &content), QuarantineState::Confirmed(_));
             prop_assert_eq!(confirmed(&a), confirmed(&b));
         }
     }
--- a/crates/router/tests/quota.rs
+++ b/crates/router/tests/quota.rs
@@ -52,7 +52,7 @@
 struct Reports(BTreeMap<String, UnreachableGateways>);
 
 impl ReachabilityReports for Reports {
-    fn missing(&self, name: &str) -> Option<&UnreachableGateways> {
+    fn unreachable(&self, name: &str) -> Option<&UnreachableGateways> {
         self.0.get(name)
     }
 }
--- a/crates/router/tests/share.rs
+++ b/crates/router/tests/share.rs
@@ -28,8 +28,8 @@
 #[test]
 fn the_load_of_all_peers_is_summed() {
     let mut shares = LoadReports::default();
-    assert!(shares.hear(NOW, share("a", 1, 1, 100)));
-    assert!(shares.hear(NOW, share("b", 1, 1, 30)));
+    assert!(shares.on_report(NOW, share("a", 1, 1, 100)));
+    assert!(shares.on_report(NOW, share("b", 1, 1, 30)));
     assert_eq!(
         shares.work(NOW, &id()),
         EngineLoad { memory: MemoryForecast::constant(130), count: 2, ..EngineLoad::default() }
@@ -40,18 +40,18 @@
 #[test]
 fn an_outdated_datagram_is_ignored() {
     let mut shares = LoadReports::default();
-    shares.hear(NOW, share("a", 1, 5, 100));
-    assert!(!shares.hear(NOW, share("a", 1, 4, 999)));
-    assert!(!shares.hear(NOW, share("a", 1, 5, 999)));
+    shares.on_report(NOW, share("a", 1, 5, 100));
+    assert!(!shares.on_report(NOW, share("a", 1, 4, 999)));
+    assert!(!shares.on_report(NOW, share("a", 1, 5, 999)));
     assert_eq!(shares.work(NOW, &id()).memory.now(), 100);
-    assert!(shares.hear(NOW, share("a", 2, 1, 7)), "a new incarnation starts over");
+    assert!(shares.on_report(NOW, share("a", 2, 1, 7)), "a new incarnation starts over");
     assert_eq!(shares.work(NOW, &id()).memory.now(), 7);
 }
 
 #[test]
 fn the_load_of_a_silent_peer_is_dropped() {
     let mut shares = LoadReports::default();
-    shares.hear(NOW, share("a", 1, 1, 100));
+    shares.on_report(NOW, share("a", 1, 1, 100));
     assert_eq!(shares.work(NOW.after(LOAD_TIMEOUT), &id()).memory.now(), 0);
 }
 
@@ -60,7 +60,7 @@
 fn a_load_report_outlives_the_rounds_of_a_large_fleet() {
     let mut shares = LoadReports::default();
     for n in 0..410 {
-        shares.hear(NOW, share(&format!("e{n}"), 1, 1, 10));
+        shares.on_report(NOW, share(&format!("e{n}"), 1, 1, 10));
     }
     let later = NOW.after(pause(410) * 2);
     assert_eq!(shares.work(later, &id()).memory.now(), 4_100);
--- a/crates/router/tests/zones.rs
+++ b/crates/router/tests/zones.rs
@@ -37,7 +37,7 @@
         let name = format!("front-siracusa-ortigia-{n}");
         let now = NOW.after(Duration::from_millis(n));
         digests
-            .hear(now, ZoneSummary { name, ..digest(["b", "c", "d"][n as usize % 3], 1, 500, 90) });
+            .on_summary(now, ZoneSummary { name, ..digest(["b", "c", "d"][n as usize % 3], 1, 500, 90) });
     }
     let now = NOW.after(SOON);
     let relayed: Vec<ZoneSummary> = digests.passed_on(now).cloned().collect();
@@ -99,14 +99,14 @@
 fn a_zone_with_free_memory_and_a_prefill_engine_is_asked() {
     let mut digests = ZoneSummaries::default();
     assert_eq!(overflow_zone(&digests, NOW, &[], 0.5), None);
-    digests.hear(NOW, digest("full", 1, 50, 0));
-    digests.hear(NOW, digest("late", 1, 500, 501));
+    digests.on_summary(NOW, digest("full", 1, 50, 0));
+    digests.on_summary(NOW, digest("late", 1, 500, 501));
     assert_eq!(overflow_zone(&digests, NOW, &[], 0.5), None);
     let mut pieces = digest("pieces", 1, 500, 0);
     pieces.rooms[0].places = 0;
-    digests.hear(NOW, pieces);
+    digests.on_summary(NOW, pieces);
     assert_eq!(overflow_zone(&digests, NOW, &[], 0.5), None);
-    digests.hear(NOW, digest("good", 1, 500, 499));
+    digests.on_summary(NOW, digest("good", 1, 500, 499));
     assert_eq!(overflow_zone(&digests, NOW, &[], 0.5).as_deref(), Some("good"));
     assert_eq!(overflow_zone(&digests, NOW, &["good".to_owned()], 0.5), None, "already asked");
     assert_eq!(digests.overflow_target(NOW, "other", SOON, &[], 0.5), None);
@@ -116,8 +116,8 @@
 #[test]
 fn zones_are_asked_in_proportion_to_their_capacity() {
     let mut digests = ZoneSummaries::default();
-    digests.hear(NOW, digest("a", 1, 300, 0));
-    digests.hear(NOW, digest("b", 1, 100, 0));
+    digests.on_summary(NOW, digest("a", 1, 300, 0));
+    digests.on_summary(NOW, digest("b", 1, 100, 0));
     let asked = |zone: &str| {
         let draws = (0..1_000).map(|n| f64::from(n) / 1_000.0);
         draws.filter(|d| overflow_zone(&digests, NOW, &[], *d).as_deref() == Some(zone)).count()
@@ -130,7 +130,7 @@
 #[test]
 fn a_zone_that_granted_nothing_is_not_asked_for_a_while() {
     let mut digests = ZoneSummaries::default();
-    digests.hear(NOW, digest("a", 1, 300, 0));
+    digests.on_summary(NOW, digest("a", 1, 300, 0));
     digests.on_refused(NOW, "a");
     assert_eq!(overflow_zone(&digests, NOW.after(FULL_BACKOFF / 2), &[], 0.5), None);
     assert!(overflow_zone(&digests, NOW.after(FULL_BACKOFF), &[], 0.5).is_some());
@@ -139,12 +139,12 @@
 #[test]
 fn a_summary_is_valid_for_a_while() {
     let mut digests = ZoneSummaries::default();
-    assert!(digests.hear(NOW, digest("a", 5, 500, 0)));
-    assert!(!digests.hear(NOW.after(SOON), digest("a", 5, 500, 0)), "relayed by another gateway");
-    assert!(!digests.hear(NOW.after(SOON), digest("a", 4, 500, 0)), "outdated");
+    assert!(digests.on_summary(NOW, digest("a", 5, 500, 0)));
+    assert!(!digests.on_summary(NOW.after(SOON), digest("a", 5, 500, 0)), "relayed by another gateway");
+    assert!(!digests.on_summary(NOW.after(SOON), digest("a", 4, 500, 0)), "outdated");
     let later = NOW.after(SUMMARY_LIFETIME);
     assert_eq!(overflow_zone(&digests, later, &[], 0.5), None);
-    assert!(digests.hear(later, digest("a", 6, 500, 0)));
+    assert!(digests.on_summary(later, digest("a", 6, 500, 0)));
     assert!(overflow_zone(&digests, later, &[], 0.5).is_some());
 }
 
