--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -189,12 +189,12 @@
         shared.back_offs.borrow_mut().expire(now);
         quota::expire(&shared);
         shared.measure_memory();
-        let roster = shared.registry.borrow();
-        shared.plain_servers.borrow_mut().retain(|id| roster.get(id).is_some());
-        shared.engines.borrow_mut().retain(|id| roster.get(id).is_some());
-        shared.speed_factors.borrow_mut().retain(|id| roster.get(id).is_some());
-        shared.limits.borrow_mut().retain(|id| roster.get(id).is_some());
-        drop(roster);
+        let registry = shared.registry.borrow();
+        shared.plain_servers.borrow_mut().retain(|id| registry.get(id).is_some());
+        shared.engines.borrow_mut().retain(|id| registry.get(id).is_some());
+        shared.speed_factors.borrow_mut().retain(|id| registry.get(id).is_some());
+        shared.limits.borrow_mut().retain(|id| registry.get(id).is_some());
+        drop(registry);
         if let Some(config) = shared.config() {
             let has_route = |name: &str| config.routes.iter().any(|r| r.name == name);
             shared.caller_deadlines.borrow_mut().retain(has_route);
--- a/crates/daemon/src/gateway/announcements.rs
+++ b/crates/daemon/src/gateway/announcements.rs
@@ -69,8 +69,8 @@
 fn answering_server(shared: &Shared, to: &ServerId, reply: &Reply) -> Option<ServerId> {
     match &reply.instance {
         Some(name) if *name != to.name => {
-            let roster = shared.registry.borrow();
-            Some(roster.named(name).map_or_else(|| ServerId::new(name, 0), |s| s.id.clone()))
+            let registry = shared.registry.borrow();
+            Some(registry.named(name).map_or_else(|| ServerId::new(name, 0), |s| s.id.clone()))
         }
         _ => (!reply.moved).then(|| to.clone()),
     }
--- a/crates/daemon/src/gateway/call.rs
+++ b/crates/daemon/src/gateway/call.rs
@@ -64,30 +64,30 @@
         intake.route().goal,
     );
     flight.ticket = Some(ticket);
-    let turn = loop {
+    let decision = loop {
         let now = shared.now();
-        let turn = shared.admission_queue(&intake.service).decide(now, ticket);
-        let QueueDecision::Wait(until) = turn else {
-            break turn;
+        let decision = shared.admission_queue(&intake.service).decide(now, ticket);
+        let QueueDecision::Wait(until) = decision else {
+            break decision;
         };
         let timer = std::pin::pin!(compio::time::sleep(until.since(now)));
         select(shared.queue_waiters.wait(), timer).await;
     };
     flight.ticket = None;
     shared.admission_queue(&intake.service).leave(ticket);
-    if turn == QueueDecision::Go {
+    if decision == QueueDecision::Go {
         return true;
     }
-    let (window, waiting) = {
-        let line = shared.admission_queue(&intake.service);
-        (line.concurrency_limit(), line.waiting())
+    let (limit, waiting) = {
+        let queue = shared.admission_queue(&intake.service);
+        (queue.concurrency_limit(), queue.waiting())
     };
     let ms = shared.now().since(joined).as_millis() as u64;
     let SnapshotVersion { config, roster, age } = shared.snapshot_version();
     tracing::info!(
         id = intake.id(),
         ms,
-        window,
+        window = limit,
         waiting,
         config,
         roster,
@@ -196,8 +196,8 @@
 /// When the first of the untried servers is available again, if all of them are paused or at their
 /// limit.
 fn all_paused_until(shared: &Shared, intake: &Intake, tried: &[ServerId]) -> Option<Timestamp> {
-    let roster = shared.registry.borrow();
-    let untried = roster.ready(&intake.service).filter(|s| !tried.contains(&s.id));
+    let registry = shared.registry.borrow();
+    let untried = registry.ready(&intake.service).filter(|s| !tried.contains(&s.id));
     announcements::available_at(shared, untried)
 }
 
@@ -208,9 +208,9 @@
     now: Timestamp,
     tried: &[ServerId],
 ) -> Option<Server> {
-    let (node, roster) = (shared.node(), shared.registry.borrow());
+    let (node, registry) = (shared.node(), shared.registry.borrow());
     let servers =
-        roster.ready(&intake.service).filter(|s| !announcements::is_unavailable(shared, &s.id));
+        registry.ready(&intake.service).filter(|s| !announcements::is_unavailable(shared, &s.id));
     let plain = shared.plain_servers.borrow();
     plain.pick(now, &node.zone, servers, tried, || shared.random_fraction()).cloned()
 }
--- a/crates/daemon/src/gateway/gossip.rs
+++ b/crates/daemon/src/gateway/gossip.rs
@@ -87,8 +87,8 @@
 
 /// Checksum of the gossip state; zero if the state is empty.
 pub fn checksum(shared: &Shared) -> u64 {
-    let roster = shared.registry.borrow();
-    let leaving = roster.announced_leaving().fold(0, |sum, id| sum ^ id.number());
+    let registry = shared.registry.borrow();
+    let leaving = registry.announced_leaving().fold(0, |sum, id| sum ^ id.number());
     shared.quarantine.borrow().checksum() ^ leaving ^ shared.limits.borrow().checksum()
 }
 
--- a/crates/daemon/src/gateway/ingress.rs
+++ b/crates/daemon/src/gateway/ingress.rs
@@ -175,11 +175,11 @@
         Err(_) => return Err(refuse(Cause::Malformed)),
     };
     let account_name = account.as_ref().map_or("", Account::as_str);
-    let content =
+    let digest =
         shared.digester.request_digest(account_name, &parts.method, &host, &parts.uri, &body);
     let times = time_bounds(shared, came_at, &config.routes[route], &caller);
     let target = Target { config, route, service };
-    let mut intake = build_intake(times, target, parts, body, caller, content);
+    let mut intake = build_intake(times, target, parts, body, caller, digest);
     (intake.account, intake.cost) = (account, cost);
     Ok(intake)
 }
@@ -262,7 +262,7 @@
     parts: hyper::http::request::Parts,
     body: Bytes,
     caller: headers::CallerHeaders,
-    content: RequestDigest,
+    digest: RequestDigest,
 ) -> Intake {
     let TimeBounds { came_at, ends_at, goal_at } = times;
     let Target { config, route, service } = target;
@@ -279,7 +279,7 @@
         maybe_ran: Cell::new(false),
         arrivals: Cell::default(),
         caller,
-        digest: content,
+        digest: digest,
         body,
         config,
         route,
@@ -297,9 +297,9 @@
 /// Picks a service by weight, or another one of the route if that one has no ready server.
 fn choose_service(shared: &Shared, config: &Config, route: usize) -> Option<String> {
     let route = &config.routes[route];
-    let roster = shared.registry.borrow();
+    let registry = shared.registry.borrow();
     let chosen = routes::service(route, shared.random_fraction())?;
-    let has_server = |name: &str| roster.ready(name).next().is_some();
+    let has_server = |name: &str| registry.ready(name).next().is_some();
     if has_server(chosen) {
         return Some(chosen.to_owned());
     }
--- a/crates/daemon/src/gateway/keys.rs
+++ b/crates/daemon/src/gateway/keys.rs
@@ -133,10 +133,10 @@
 /// none does.
 fn peers_to_ask(shared: &Shared) -> Vec<SocketAddr> {
     let (now, node) = (shared.now(), shared.node());
-    let (fleet, shares) = (shared.fleet.borrow(), shared.load_reports.borrow());
+    let (fleet, load_reports) = (shared.fleet.borrow(), shared.load_reports.borrow());
     let others: Vec<_> = fleet.all().iter().filter(|(name, _)| **name != node.name).collect();
     let follows_store =
-        |name: &str| matches!(shares.link(now, name), Some(StoreLink::Heard { .. }));
+        |name: &str| matches!(load_reports.link(now, name), Some(StoreLink::Heard { .. }));
     let followers: Vec<_> = others.iter().filter(|(name, _)| follows_store(name)).collect();
     let same_zone: Vec<_> = followers.iter().filter(|(_, g)| g.zone == node.zone).collect();
     let random_index = |len: usize| (shared.random_fraction() * len as f64) as usize;
--- a/crates/daemon/src/gateway/orders.rs
+++ b/crates/daemon/src/gateway/orders.rs
@@ -156,8 +156,8 @@
     leadership: &Leadership,
 ) -> Option<(Order, Server)> {
     let config = shared.config()?;
-    let roster = shared.registry.borrow();
-    if shared.now() < roster.changed_at().after(REGISTRY_QUIET) {
+    let registry = shared.registry.borrow();
+    if shared.now() < registry.changed_at().after(REGISTRY_QUIET) {
         return None;
     }
     for service in &config.services {
@@ -168,17 +168,17 @@
             let learned = shared.service_estimates(&service.name);
             (learned.shape, learned.reading.rate())
         };
-        let view = PlanContext {
+        let context = PlanContext {
             service: &service.name,
-            groups: &engine_groups(shared, &roster, &service.name),
+            groups: &engine_groups(shared, &registry, &service.name),
             engine: spec,
             shape: Some(shape).filter(Shape::is_known),
             rate,
         };
-        if let Some((to, stage)) = planner.next(shared.now(), &view) {
+        if let Some((to, stage)) = planner.next(shared.now(), &context) {
             planner.given(shared.now(), &to, stage, spec);
             shared.changing_engines.replace(planner.changing());
-            let server = roster.get(&to)?.clone();
+            let server = registry.get(&to)?.clone();
             let holder = shared.node().name.clone();
             return Some((Order { to, stage, holder, fence: leadership.fence }, server));
         }
@@ -191,12 +191,12 @@
 /// each zone.
 fn engine_groups<'a>(
     shared: &Shared,
-    roster: &'a ServerRegistry,
+    registry: &'a ServerRegistry,
     service: &'a str,
 ) -> Vec<Vec<&'a Server>> {
     let scope = shared.scope();
     let mut groups: BTreeMap<&str, Vec<&Server>> = BTreeMap::new();
-    for server in roster.ready(service) {
+    for server in registry.ready(service) {
         let group = match scope {
             Scope::All => "",
             Scope::Zone => server.zone.as_str(),
--- a/crates/daemon/src/gateway/quarantine.rs
+++ b/crates/daemon/src/gateway/quarantine.rs
@@ -1,7 +1,7 @@
 //! Quarantine of requests that crash backend servers: observes crashes, shares them with all
 //! gateways and refuses such requests.
 //!
-//! The rules are in `ebonyloft_router::quarantine` and `losses`. The digest of a confirmed request
+//! The rules are in `ebonyloft_router::quarantine` and `lost_attempts`. The digest of a confirmed request
 //! is also written to the store, under a lease, so that it outlives the loss of all gateways. The
 //! removal of a key is ignored, since keys also expire with the store. An operator releases a
 //! request by writing a release record.
@@ -74,14 +74,14 @@
 
 /// The only probe of a suspected request in the whole system.
 pub struct Probe {
-    content: RequestDigest,
+    digest: RequestDigest,
     number: u64,
 }
 
 impl Probe {
     /// Ends the probe, so that the next one may begin if the request is still only suspected.
     pub fn close(self, shared: &Shared) {
-        publish_fact(shared, self.content, Fact::Over(self.number));
+        publish_fact(shared, self.digest, Fact::Over(self.number));
     }
 }
 
@@ -103,30 +103,30 @@
 /// is being checked, since most are no crashes; any other refusal is immediate.
 pub async fn admit(shared: &Shared, intake: &Intake) -> Result<Option<Probe>, Refused> {
     let until = shared.now().after(INQUIRY_WAIT);
-    let standing = loop {
+    let state = loop {
         let now = shared.now();
-        let standing = shared.quarantine.borrow().state(now, &intake.digest);
-        if !matches!(standing, QuarantineState::Held(_)) || now >= until {
-            break standing;
+        let state = shared.quarantine.borrow().state(now, &intake.digest);
+        if !matches!(state, QuarantineState::Held(_)) || now >= until {
+            break state;
         }
         compio::time::sleep(INQUIRY_POLL).await;
     };
     let now = shared.now();
-    let (cause, until) = match standing {
+    let (cause, until) = match state {
         QuarantineState::Free => return Ok(None),
         QuarantineState::Suspect => {
-            let probe = Probe { content: intake.digest, number: shared.random_id() };
-            publish_fact(shared, probe.content, Fact::Trying(probe.number));
+            let probe = Probe { digest: intake.digest, number: shared.random_id() };
+            publish_fact(shared, probe.digest, Fact::Trying(probe.number));
             return Ok(Some(probe));
         }
         QuarantineState::Held(until) => (Cause::Suspect, until),
         QuarantineState::Confirmed(until) => (Cause::Quarantined, until),
     };
-    let endings = shared.quarantine.borrow().crashes(&intake.digest).len();
+    let crashes = shared.quarantine.borrow().crashes(&intake.digest).len();
     let SnapshotVersion { config, roster, age } = shared.snapshot_version();
     let ms = until.since(now).as_millis() as u64;
     tracing::info!(
-        id = intake.id(), content = %intake.digest, ?cause, endings, ms, config, roster, age,
+        id = intake.id(), content = %intake.digest, ?cause, endings = crashes, ms, config, roster, age,
         "request refused"
     );
     shared.metrics.count("gateway.quarantine.refused", 1);
@@ -135,9 +135,9 @@
 
 /// Is a request confirmed to crash servers? Checked again before each send, since the request may
 /// have waited.
-pub fn is_confirmed(shared: &Shared, content: &RequestDigest) -> bool {
-    let standing = shared.quarantine.borrow().state(shared.now(), content);
-    matches!(standing, QuarantineState::Confirmed(_))
+pub fn is_confirmed(shared: &Shared, digest: &RequestDigest) -> bool {
+    let state = shared.quarantine.borrow().state(shared.now(), digest);
+    matches!(state, QuarantineState::Confirmed(_))
 }
 
 /// How far a run had come when it broke off.
@@ -173,8 +173,8 @@
     let early = sent.run != RunStage::Advanced;
     let wait = if sent.run == RunStage::Call { CALL_PROBE_DELAY } else { STREAM_PROBE_DELAY };
     let number = shared.random_id();
-    let loss = LostAttempt { digest: intake.digest, early, sent: sent.at, at: now, number };
-    shared.lost_attempts.borrow_mut().add(server, loss, wait);
+    let attempt = LostAttempt { digest: intake.digest, early, sent: sent.at, at: now, number };
+    shared.lost_attempts.borrow_mut().add(server, attempt, wait);
     if sent.run == RunStage::Begun {
         publish_fact(shared, intake.digest, Fact::Lost(number));
     }
@@ -192,8 +192,8 @@
 
 /// Handles the outcome of a send: a lost attempt is checked, and a complete answer clears the
 /// request.
-pub fn on_outcome(shared: &Shared, intake: &Intake, sent: Sent<'_>, fate: AttemptOutcome) {
-    match fate {
+pub fn on_outcome(shared: &Shared, intake: &Intake, sent: Sent<'_>, outcome: AttemptOutcome) {
+    match outcome {
         AttemptOutcome::Lost => on_lost(shared, intake, sent),
         AttemptOutcome::Answered(status) if status < 500 => on_served(shared, &intake.digest),
         AttemptOutcome::Answered(_)
@@ -203,18 +203,18 @@
     }
 }
 
-fn on_served(shared: &Shared, content: &RequestDigest) {
-    let is_new = shared.quarantine.borrow_mut().on_served(shared.now(), *content);
+fn on_served(shared: &Shared, digest: &RequestDigest) {
+    let is_new = shared.quarantine.borrow_mut().on_served(shared.now(), *digest);
     if is_new {
-        publish_fact(shared, *content, Fact::Served);
+        publish_fact(shared, *digest, Fact::Served);
     }
 }
 
 /// Waits, for a limited time, until it is known whether the server of a lost attempt of this
 /// request crashed.
-pub async fn wait_for_inquiry(shared: &Shared, content: &RequestDigest) {
+pub async fn wait_for_inquiry(shared: &Shared, digest: &RequestDigest) {
     let until = shared.now().after(INQUIRY_WAIT);
-    while shared.now() < until && shared.lost_attempts.borrow().is_investigated(content) {
+    while shared.now() < until && shared.lost_attempts.borrow().is_investigated(digest) {
         compio::time::sleep(INQUIRY_POLL).await;
     }
 }
@@ -222,22 +222,22 @@
 /// Handles an answer to what was sent at `sent`, which shows that the server was alive.
 pub fn on_alive(shared: &Shared, id: &ServerId, sent: Timestamp) {
     let cleared = shared.lost_attempts.borrow_mut().on_answer(id, sent);
-    let early = cleared.iter().filter(|loss| loss.early);
-    early.for_each(|loss| publish_fact(shared, loss.digest, Fact::Over(loss.number)));
+    let early = cleared.iter().filter(|attempt| attempt.early);
+    early.for_each(|attempt| publish_fact(shared, attempt.digest, Fact::Over(attempt.number)));
 }
 
 /// Handles the end of a server's incarnation that did not announce its leaving.
 pub fn on_ended(shared: &Shared, id: &ServerId, how: &'static str) {
-    let losses = shared.lost_attempts.borrow_mut().on_crash(id);
-    record_crashes(shared, id, losses, how);
+    let attempts = shared.lost_attempts.borrow_mut().on_crash(id);
+    record_crashes(shared, id, attempts, how);
 }
 
 /// Handles a registration that is gone, or that names another incarnation now.
 pub fn on_unregistered(shared: &Shared, name: &str) {
     let current = shared.registry.borrow().named(name).map(|s| s.id.clone());
     let ended = shared.lost_attempts.borrow_mut().on_crash_except(name, current.as_ref());
-    for (id, losses) in ended {
-        record_crashes(shared, &id, losses, "registration");
+    for (id, attempts) in ended {
+        record_crashes(shared, &id, attempts, "registration");
     }
 }
 
@@ -248,26 +248,26 @@
     replaced.iter().for_each(|previous| on_ended(shared, previous, "address"));
 }
 
-fn record_crashes(shared: &Shared, id: &ServerId, losses: Vec<LostAttempt>, how: &'static str) {
-    for loss in losses {
-        if shared.quarantine.borrow().is_healthy(loss.at, &loss.digest) {
+fn record_crashes(shared: &Shared, id: &ServerId, attempts: Vec<LostAttempt>, how: &'static str) {
+    for attempt in attempts {
+        if shared.quarantine.borrow().is_healthy(attempt.at, &attempt.digest) {
             continue;
         }
-        let age = shared.now().since(loss.at).as_millis() as u64;
+        let age = shared.now().since(attempt.at).as_millis() as u64;
         tracing::info!(
-            content = %loss.digest, server = %id, early = loss.early, how, age,
+            content = %attempt.digest, server = %id, early = attempt.early, how, age,
             "backend server crashed under a request"
         );
-        let fact = Fact::Ended(id.clone(), loss.early);
-        publish(shared, QuarantineUpdate { content: loss.digest, age, fact });
-        if loss.early {
-            publish_fact(shared, loss.digest, Fact::Over(loss.number));
+        let fact = Fact::Ended(id.clone(), attempt.early);
+        publish(shared, QuarantineUpdate { content: attempt.digest, age, fact });
+        if attempt.early {
+            publish_fact(shared, attempt.digest, Fact::Over(attempt.number));
         }
     }
 }
 
-fn publish_fact(shared: &Shared, content: RequestDigest, fact: Fact) {
-    publish(shared, QuarantineUpdate { content, age: 0, fact });
+fn publish_fact(shared: &Shared, digest: RequestDigest, fact: Fact) {
+    publish(shared, QuarantineUpdate { content: digest, age: 0, fact });
 }
 
 /// Applies an observation made here and publishes it to all gateways.
@@ -280,33 +280,33 @@
 /// Applies an observation made here, or reported by a peer or the store.
 pub fn apply_report(shared: &Shared, report: &QuarantineUpdate, peer: Option<&str>) {
     let change = shared.quarantine.borrow_mut().apply(shared.now(), report);
-    let (content, fact, age) = (report.content, &report.fact, report.age);
+    let (digest, fact, age) = (report.content, &report.fact, report.age);
     match change {
         Change::Nothing => {}
         Change::Suspected => {
-            let endings = shared.quarantine.borrow().crashes(&content).len();
+            let crashes = shared.quarantine.borrow().crashes(&digest).len();
             tracing::info!(
-                %content, ?fact, age, peer, endings, "request suspected of crashing servers"
+                content = %digest, ?fact, age, peer, endings = crashes, "request suspected of crashing servers"
             );
-            let close_to_confirmed = shared.quarantine.borrow().is_nearly_confirmed(&content);
+            let close_to_confirmed = shared.quarantine.borrow().is_nearly_confirmed(&digest);
             if close_to_confirmed && (peer.is_none() || is_first_gateway(shared)) {
-                shared.unsaved_confirmations.borrow_mut().push(content);
+                shared.unsaved_confirmations.borrow_mut().push(digest);
             }
         }
         Change::Confirmed => {
             let quarantine = shared.quarantine.borrow();
-            let crashes = quarantine.crashes(&content).iter().map(|e| e.server.to_string());
+            let crashes = quarantine.crashes(&digest).iter().map(|e| e.server.to_string());
             let servers = crashes.collect::<Vec<_>>().join(" ");
             tracing::warn!(
-                %content, ?fact, age, peer, servers, "request confirmed to crash servers"
+                content = %digest, ?fact, age, peer, servers, "request confirmed to crash servers"
             );
             shared.metrics.count("gateway.quarantine.proved", 1);
             if peer.is_none() || is_first_gateway(shared) {
-                shared.unsaved_confirmations.borrow_mut().push(content);
+                shared.unsaved_confirmations.borrow_mut().push(digest);
             }
         }
         Change::Cleared => {
-            tracing::info!(%content, ?fact, age, peer, "request cleared of crashing servers")
+            tracing::info!(content = %digest, ?fact, age, peer, "request cleared of crashing servers")
         }
     }
 }
@@ -340,18 +340,18 @@
     for (id, addr) in shared.lost_attempts.borrow_mut().due_probes(shared.now()) {
         compio::runtime::spawn(check_alive(shared.clone(), id, addr)).detach();
     }
-    for content in shared.unsaved_confirmations.take() {
-        compio::runtime::spawn(store_record(shared.clone(), content)).detach();
+    for digest in shared.unsaved_confirmations.take() {
+        compio::runtime::spawn(store_record(shared.clone(), digest)).detach();
     }
 }
 
 fn upkeep(shared: &Shared) {
     let now = shared.now();
-    for (server, loss) in shared.lost_attempts.borrow_mut().expire(now) {
-        tracing::info!(content = %loss.digest, %server, "cannot tell whether the server crashed");
+    for (server, attempt) in shared.lost_attempts.borrow_mut().expire(now) {
+        tracing::info!(content = %attempt.digest, %server, "cannot tell whether the server crashed");
     }
-    for content in shared.quarantine.borrow_mut().expire(now) {
-        tracing::info!(%content, "suspicion of a request expired");
+    for digest in shared.quarantine.borrow_mut().expire(now) {
+        tracing::info!(content = %digest, "suspicion of a request expired");
     }
     let (suspects, confirmed) = shared.quarantine.borrow().counts();
     shared.metrics.gauge("gateway.quarantine.suspects", suspects as u64);
@@ -366,49 +366,51 @@
     let sent = shared.now();
     let result =
         timeout(LIVENESS_TIMEOUT, shared.pool.check_address(addr, engine::probe(&id))).await;
-    let found = match result {
+    let result = match result {
         Ok(Reachability::Answered(StatusCode::MISDIRECTED_REQUEST)) => ProbeResult::Other,
         Ok(Reachability::Answered(_)) => ProbeResult::Alive,
         Ok(Reachability::Refused) => ProbeResult::Nobody,
         Ok(Reachability::Broken) | Err(_) => ProbeResult::Silence,
     };
-    let ended = shared.lost_attempts.borrow_mut().on_probe_result(&id, found);
-    tracing::info!(server = %id, ?found, ended, "liveness of a backend server checked");
+    let ended = shared.lost_attempts.borrow_mut().on_probe_result(&id, result);
+    tracing::info!(server = %id, found = ?result, ended, "liveness of a backend server checked");
     shared.metrics.count("gateway.quarantine.asked", 1);
-    if found == ProbeResult::Alive {
+    if result == ProbeResult::Alive {
         on_alive(&shared, &id, sent);
     }
     if ended {
-        on_ended(&shared, &id, if found == ProbeResult::Other { "address" } else { "port" });
+        on_ended(&shared, &id, if result == ProbeResult::Other { "address" } else { "port" });
     }
 }
 
 /// Should the store keep a record of this request?
-fn should_store(shared: &Shared, content: &RequestDigest) -> bool {
-    is_confirmed(shared, content) || shared.quarantine.borrow().is_nearly_confirmed(content)
+fn should_store(shared: &Shared, digest: &RequestDigest) -> bool {
+    is_confirmed(shared, digest) || shared.quarantine.borrow().is_nearly_confirmed(digest)
 }
 
 /// Writes the record of a confirmed request, or of one close to that, to the store; repeated on
 /// failure while the request stays so. On a conflict another gateway has written it.
-async fn store_record(shared: Rc<Shared>, content: RequestDigest) {
+async fn store_record(shared: Rc<Shared>, digest: RequestDigest) {
     let mut backoff = WRITE_BACKOFF;
-    while should_store(&shared, &content) {
-        match try_store_record(&shared, content).await {
+    while should_store(&shared, &digest) {
+        match try_store_record(&shared, digest).await {
             Ok(()) | Err(StoreError::Conflict) => return,
-            Err(e) => tracing::info!(%content, error = %e, "quarantine record not written"),
+            Err(e) => {
+                tracing::info!(content = %digest, error = %e, "quarantine record not written")
+            }
         }
         compio::time::sleep(backoff.mul_f64(0.5 + shared.random_fraction())).await;
         backoff = (backoff * 2).min(WRITE_BACKOFF_MAX);
     }
 }
 
-async fn try_store_record(shared: &Shared, content: RequestDigest) -> Result<(), StoreError> {
-    let (prefix, ttl) = match is_confirmed(shared, &content) {
+async fn try_store_record(shared: &Shared, digest: RequestDigest) -> Result<(), StoreError> {
+    let (prefix, ttl) = match is_confirmed(shared, &digest) {
         true => (CONFIRMED_PREFIX, CONFIRMED_TTL),
         false => (SUSPECT_PREFIX, SUSPECT_TTL),
     };
-    let key = format!("{prefix}{:016x}{:016x}", content.0, content.1);
-    let crashes = shared.quarantine.borrow().crashes(&content).to_vec();
+    let key = format!("{prefix}{:016x}{:016x}", digest.0, digest.1);
+    let crashes = shared.quarantine.borrow().crashes(&digest).to_vec();
     let servers = crashes.iter().map(|e| e.server.to_string()).collect();
     let endings = crashes.into_iter().map(|e| (e.server, e.early, e.at)).collect();
     let record = Record { servers, endings, by: shared.node().name.clone(), release: false };
@@ -434,10 +436,10 @@
         let Some(value) = item.value else {
             return;
         };
-        if let Some(content) = item.key.strip_prefix(SUSPECT_PREFIX).and_then(parse) {
-            return self.suspect(content, &value);
+        if let Some(digest) = item.key.strip_prefix(SUSPECT_PREFIX).and_then(parse) {
+            return self.suspect(digest, &value);
         }
-        let Some(content) = item.key.strip_prefix(CONFIRMED_PREFIX).and_then(parse) else {
+        let Some(digest) = item.key.strip_prefix(CONFIRMED_PREFIX).and_then(parse) else {
             return;
         };
         let fact = match serde_json::from_slice::<Record>(&value) {
@@ -450,21 +452,22 @@
                 );
             }
         };
-        if fact == Fact::Proved && is_confirmed(&self.0, &content) {
+        if fact == Fact::Proved && is_confirmed(&self.0, &digest) {
             return;
         }
-        apply_report(&self.0, &QuarantineUpdate { content, age: 0, fact }, Some("store"));
+        apply_report(&self.0, &QuarantineUpdate { content: digest, age: 0, fact }, Some("store"));
     }
 }
 
 impl QuarantineSink {
-    fn suspect(&self, content: RequestDigest, value: &[u8]) {
+    fn suspect(&self, digest: RequestDigest, value: &[u8]) {
         let Ok(record) = serde_json::from_slice::<Record>(value) else {
-            return tracing::warn!(%content, "invalid record of a suspected request");
+            return tracing::warn!(content = %digest, "invalid record of a suspected request");
         };
         for (server, early, at) in record.endings {
             let age = self.0.now().since(at).as_millis() as u64;
-            let report = QuarantineUpdate { content, age, fact: Fact::Ended(server, early) };
+            let report =
+                QuarantineUpdate { content: digest, age, fact: Fact::Ended(server, early) };
             apply_report(&self.0, &report, Some("store"));
         }
     }
--- a/crates/daemon/src/gateway/quota.rs
+++ b/crates/daemon/src/gateway/quota.rs
@@ -126,9 +126,9 @@
         }
         match ask_owner(shared, &ask).await {
             Some(LeaseDecision::Lent(tokens)) => {
-                let mut borrower = shared.token_leases.borrow_mut();
-                borrower.on_granted(key, asked_at, tokens);
-                if borrower.spend_granted(shared.now(), key, need) {
+                let mut leases = shared.token_leases.borrow_mut();
+                leases.on_granted(key, asked_at, tokens);
+                if leases.spend_granted(shared.now(), key, need) {
                     return Ok(());
                 }
             }
@@ -242,10 +242,10 @@
     let fleet = shared.fleet.borrow();
     let ranked = shared.quota_owners.borrow_mut().ranked(&fleet, &ask.key);
     let is_first = ranked.first() == Some(&node.name);
-    let mut lender = shared.lease_issuer.borrow_mut();
-    lender.tick(now, fleet.edition());
-    let reply = lender.grant(now, ask, &rate, share, is_first);
-    let level = lender.level(&ask.key).unwrap_or_default();
+    let mut issuer = shared.lease_issuer.borrow_mut();
+    issuer.tick(now, fleet.edition());
+    let reply = issuer.grant(now, ask, &rate, share, is_first);
+    let level = issuer.level(&ask.key).unwrap_or_default();
     let config = shared.snapshot_version().config;
     match reply {
         LeaseDecision::Lent(_) => shared.metrics.count("gateway.quota.lent", 1),
@@ -304,21 +304,22 @@
 /// The share of a quota or limit that this gateway grants.
 fn granted_share(shared: &Shared, key: &LimitKey, rate: &Rate) -> f64 {
     let (now, node, fleet) = (shared.now(), shared.node(), shared.fleet.borrow());
-    let mut homes = shared.quota_owners.borrow_mut();
+    let mut owners = shared.quota_owners.borrow_mut();
     if shared.scope() == Scope::Zone {
         // Gateways of other zones are not observed here: the first in rank grants everything, and
         // its standby the tolerated excess.
-        let ranked = homes.ranked(&fleet, key);
+        let ranked = owners.ranked(&fleet, key);
         return match ranked.iter().position(|name| *name == node.name) {
             Some(0) => 1.0,
             Some(1) => standby_share(rate, &excess(shared, key)),
             _ => 0.0,
         };
     }
-    let shares = shared.load_reports.borrow();
+    let load_reports = shared.load_reports.borrow();
     let own_unreachable = unreachable_gateways(shared);
-    let views = ObservedViews { now, name: &node.name, own: &own_unreachable, shares: &shares };
-    homes.share(&fleet, key, &node.name, &views)
+    let views =
+        ObservedViews { now, name: &node.name, own: &own_unreachable, load_reports: &load_reports };
+    owners.share(&fleet, key, &node.name, &views)
 }
 
 /// Gateways that this one receives no messages from.
@@ -350,7 +351,7 @@
     now: Timestamp,
     name: &'a str,
     own: &'a UnreachableGateways,
-    shares: &'a LoadReports,
+    load_reports: &'a LoadReports,
 }
 
 impl ReachabilityReports for ObservedViews<'_> {
@@ -358,6 +359,6 @@
         if name == self.name {
             return Some(self.own);
         }
-        self.shares.missed_by(self.now, name)
+        self.load_reports.missed_by(self.now, name)
     }
 }
--- a/crates/daemon/src/gateway/shared.rs
+++ b/crates/daemon/src/gateway/shared.rs
@@ -287,7 +287,9 @@
 
     /// True if requests of callers can be served.
     pub fn is_ready(&self) -> bool {
-        !self.is_stopping() && self.config.borrow().is_some() && self.registry.borrow().is_complete()
+        !self.is_stopping()
+            && self.config.borrow().is_some()
+            && self.registry.borrow().is_complete()
     }
 
     /// True once the process was told to stop.
@@ -339,10 +341,10 @@
         let Some(config) = self.config() else {
             return;
         };
-        let roster = self.registry.borrow();
+        let registry = self.registry.borrow();
         let memory = config.services.iter().filter_map(|service| {
             let tokens = service.engine.as_ref()?.tokens;
-            Some(tokens * roster.ready(&service.name).count() as u64)
+            Some(tokens * registry.ready(&service.name).count() as u64)
         });
         self.engine_memory.borrow_mut().observe(self.now(), memory.sum());
     }
@@ -351,9 +353,9 @@
     /// store relies on the store access of those that do.
     pub fn update_role(&self) {
         let (now, node) = (self.now(), self.node());
-        let (fleet, shares) = (self.fleet.borrow(), self.load_reports.borrow());
+        let (fleet, load_reports) = (self.fleet.borrow(), self.load_reports.borrow());
         let reaches_store =
-            |name: &str| matches!(shares.link(now, name), Some(StoreLink::Heard { .. }));
+            |name: &str| matches!(load_reports.link(now, name), Some(StoreLink::Heard { .. }));
         let ahead: Vec<&str> =
             fleet.higher_ranked(&node.name).map_or_else(Vec::new, Iterator::collect);
         let (ahead_count, reaching) =
@@ -374,8 +376,8 @@
             self.metrics.gauge("gateway.follows", u64::from(role.follows()));
         }
         if !role.follows() {
-            let link = shares.best_link(now);
-            if let Some(at) = shares.known_at(now, self.registry.borrow().revision()) {
+            let link = load_reports.best_link(now);
+            if let Some(at) = load_reports.known_at(now, self.registry.borrow().revision()) {
                 self.store_state.borrow_mut().known(at);
             }
             if self.store_state.borrow_mut().adopt(now, link) {
--- a/crates/daemon/src/gateway/state_sync.rs
+++ b/crates/daemon/src/gateway/state_sync.rs
@@ -202,12 +202,12 @@
 
 fn build_update(shared: &Shared, theirs: Versions) -> StateUpdate {
     let versions = versions(shared);
-    let (roster, fleet) = (shared.registry.borrow(), shared.fleet.borrow());
-    let servers = || match roster.since(theirs.roster) {
+    let (registry, fleet) = (shared.registry.borrow(), shared.fleet.borrow());
+    let servers = || match registry.since(theirs.roster) {
         Some(changes) => RegistryUpdate::Changes(changes),
-        None => RegistryUpdate::All(roster.changes()),
+        None => RegistryUpdate::All(registry.changes()),
     };
-    let complete = roster.is_complete();
+    let complete = registry.is_complete();
     StateUpdate {
         versions,
         config: shared.config().filter(|c| c.version > theirs.config).map(|c| (*c).clone()),
--- a/crates/daemon/src/gateway/stream.rs
+++ b/crates/daemon/src/gateway/stream.rs
@@ -78,16 +78,16 @@
         let run = state.run_phase(shared.now());
         quarantine::on_abandoned(shared, intake, Sent { server: &server, run, at });
     }
-    let word = send_result(shared, intake, &state, out, result);
-    if word == COMPLETE {
+    let ending = send_result(shared, intake, &state, out, result);
+    if ending == COMPLETE {
         learn_length(shared, intake, &state);
     }
     let pause = state.longest_gap.as_millis() as u64;
-    state.close(shared, word == COMPLETE);
+    state.close(shared, ending == COMPLETE);
     retries::close(shared, intake);
     let ms = shared.now().since(intake.came_at).as_millis() as u64;
     tracing::info!(
-        id = intake.id(), route = %intake.route().name, word, events, pause, ms, "stream ended"
+        id = intake.id(), route = %intake.route().name, word = ending, events, pause, ms, "stream ended"
     );
     shared.metrics.time("gateway.pause_ms", pause);
     shared.metrics.time("gateway.stream_ms", ms);
@@ -168,27 +168,32 @@
         state.first_event_at = None;
         let started_at = shared.now();
         state.open_attempt = Some((server.clone(), started_at));
-        let (fate, answer) = attempt(shared, intake, &server, state, out, &mut splitter).await;
+        let (outcome, answer) = attempt(shared, intake, &server, state, out, &mut splitter).await;
         let now = shared.now();
-        state.progress.record(fate);
+        state.progress.record(outcome);
         let run = state.run_phase(now);
         state.open_attempt = None;
-        quarantine::on_outcome(shared, intake, Sent { server: &server, run, at: started_at }, fate);
+        quarantine::on_outcome(
+            shared,
+            intake,
+            Sent { server: &server, run, at: started_at },
+            outcome,
+        );
         tracing::info!(
-            id = intake.id(), content = %intake.digest, server = %server.id, ?fate,
+            id = intake.id(), content = %intake.digest, server = %server.id, fate = ?outcome,
             events = splitter.count(), last = splitter.last_id(), "stream attempt ended"
         );
-        if matches!(fate, AttemptOutcome::Answered(200)) {
+        if matches!(outcome, AttemptOutcome::Answered(200)) {
             return Ok(());
         }
-        if fate == AttemptOutcome::Rejected {
+        if outcome == AttemptOutcome::Rejected {
             // The prefilled prompt may still be fetched by another engine.
             state.drop_reservation(shared, now);
         } else {
             state.release(shared, now, false);
         }
         tried.push(server.id.clone());
-        match fate {
+        match outcome {
             AttemptOutcome::Answered(_) => failure = answer,
             AttemptOutcome::Moved => call::on_replaced(shared, &server.id),
             // An engine that asked for a back-off gets no requests until it is over.
@@ -207,7 +212,7 @@
             }
         }
         splitter.discard_incomplete();
-        if (fate, run) == (AttemptOutcome::Lost, RunStage::Begun) {
+        if (outcome, run) == (AttemptOutcome::Lost, RunStage::Begun) {
             quarantine::wait_for_inquiry(shared, &intake.digest).await;
         }
     }
@@ -314,17 +319,17 @@
     let sent = send::head(shared, intake, server, req, Expect::Signature);
     let head = match with_stall_timeout(intake, sent).await {
         Some(Ok(head)) => head,
-        Some(Err(fate)) => return (fate, None),
+        Some(Err(outcome)) => return (outcome, None),
         None => return (AttemptOutcome::Lost, None),
     };
-    let fate = AttemptOutcome::from_reply(&head.reply, intake.caller.attempt.as_deref());
-    if fate != AttemptOutcome::Answered(200) {
-        return (fate, read_failure(shared, head, fate).await);
+    let outcome = AttemptOutcome::from_reply(&head.reply, intake.caller.attempt.as_deref());
+    if outcome != AttemptOutcome::Answered(200) {
+        return (outcome, read_failure(shared, head, outcome).await);
     }
     state.mark_used();
     shared.engines.borrow_mut().on_accepted(&server.id);
-    let fate = relay::relay(shared, intake, head, state, out, splitter).await;
-    (fate, None)
+    let outcome = relay::relay(shared, intake, head, state, out, splitter).await;
+    (outcome, None)
 }
 
 /// Bounds a wait by the stall timeout if the stream may continue elsewhere.
@@ -339,7 +344,7 @@
 async fn read_failure(
     shared: &Shared,
     head: Head,
-    fate: AttemptOutcome,
+    outcome: AttemptOutcome,
 ) -> Option<send::CompleteAnswer> {
     let Head { reply, response, conn } = head;
     let (status, headers) = (response.status(), headers::forwarded_to_caller(response.headers()));
@@ -348,10 +353,10 @@
         conn.close();
         return None;
     };
-    if fate != AttemptOutcome::Lost {
+    if outcome != AttemptOutcome::Lost {
         shared.pool.put_back(conn);
     }
-    matches!(fate, AttemptOutcome::Answered(_)).then(|| send::CompleteAnswer {
+    matches!(outcome, AttemptOutcome::Answered(_)).then(|| send::CompleteAnswer {
         status,
         headers,
         body: body.to_bytes(),
--- a/crates/daemon/src/gateway/stream/admission.rs
+++ b/crates/daemon/src/gateway/stream/admission.rs
@@ -38,42 +38,42 @@
     resumed: bool,
 ) -> Result<Server, StreamError> {
     let joined_at = shared.now();
-    let growth = expected_growth(shared, intake);
-    let need = need(shared, intake, state, growth, joined_at, resumed);
+    let length_forecast = forecast_length(shared, intake);
+    let demand = demand(shared, intake, state, length_forecast, joined_at, resumed);
     let read_at = prefill::predicted_ready_at(shared, intake, state, joined_at);
-    let ticket = shared.engines.borrow_mut().join(joined_at, need, read_at);
+    let ticket = shared.engines.borrow_mut().join(joined_at, demand, read_at);
     state.ticket = Some(ticket);
     loop {
         let now = shared.now();
         if let Some(at) =
-            all_backed_off_until(shared, intake, tried).filter(|at| *at >= need.first_by)
+            all_backed_off_until(shared, intake, tried).filter(|at| *at >= demand.first_by)
         {
             leave_queue(shared, state);
             return Err(StreamError::Refused(Cause::Overload, Some(at)));
         }
-        let advice = advise(shared, intake, spec, state, tried, now);
-        let lacks_now = || lacks_capacity(shared, intake, spec, state, &need, now);
-        if !matches!(advice, AdmissionDecision::Ask(_))
+        let decision = decide(shared, intake, spec, state, tried, now);
+        let lacks_now = || lacks_capacity(shared, intake, spec, state, &demand, now);
+        if !matches!(decision, AdmissionDecision::Ask(_))
             && overflow::is_allowed(shared, state)
             && lacks_now()
-            && let Some(zone) = overflow::choose_zone(shared, intake, state, &need)
+            && let Some(zone) = overflow::choose_zone(shared, intake, state, &demand)
         {
             if let Some(server) =
-                overflow::reserve(shared, intake, state, &need, growth, zone).await
+                overflow::reserve(shared, intake, state, &demand, length_forecast, zone).await
             {
                 leave_queue(shared, state);
-                log_placed(shared, intake, spec, &need, &server, joined_at);
+                log_placed(shared, intake, spec, &demand, &server, joined_at);
                 return Ok(server);
             }
             continue;
         }
-        match advice {
+        match decision {
             AdmissionDecision::Ask(id) => {
                 if let Some(server) =
-                    reserve_at(shared, spec, state, &id, need.memory, growth).await
+                    reserve_at(shared, spec, state, &id, demand.memory, length_forecast).await
                 {
                     leave_queue(shared, state);
-                    log_placed(shared, intake, spec, &need, &server, joined_at);
+                    log_placed(shared, intake, spec, &demand, &server, joined_at);
                     return Ok(server);
                 }
             }
@@ -81,9 +81,9 @@
                 let timer = std::pin::pin!(compio::time::sleep(until.since(now)));
                 select(shared.capacity_freed(), timer).await;
             }
-            AdmissionDecision::Refuse(retry_at, lack) => {
+            AdmissionDecision::Refuse(retry_at, shortage) => {
                 leave_queue(shared, state);
-                log_refused(shared, intake, spec, &need, state, joined_at, lack);
+                log_refused(shared, intake, spec, &demand, state, joined_at, shortage);
                 return Err(StreamError::Refused(Cause::Overload, Some(retry_at)));
             }
         }
@@ -93,39 +93,39 @@
 /// When the first decode engine accepts requests again, if all that could be asked have asked for
 /// a back-off. Engines of other zones count too, since this zone's gateways may ask those zones.
 fn all_backed_off_until(shared: &Shared, intake: &Intake, tried: &[ServerId]) -> Option<Timestamp> {
-    let roster = shared.registry.borrow();
-    let engines = roster.ready(&intake.service).filter(|s| s.stage == Some(Stage::Decode));
+    let registry = shared.registry.borrow();
+    let engines = registry.ready(&intake.service).filter(|s| s.stage == Some(Stage::Decode));
     let left = engines.filter(|s| !tried.contains(&s.id));
     announcements::available_at(shared, left)
 }
 
-/// Expected growth of the answer, as learned for its route.
-fn expected_growth(shared: &Shared, intake: &Intake) -> LengthForecast {
+/// Forecast of the answer's length, as learned for its route.
+fn forecast_length(shared: &Shared, intake: &Intake) -> LengthForecast {
     let mut learned = shared.traffic_stats.borrow_mut();
     learned.lengths(&intake.route().name).expect(intake.caller.max_output, intake.caller.hint)
 }
 
-fn need(
+fn demand(
     shared: &Shared,
     intake: &Intake,
     state: &StreamState,
-    growth: LengthForecast,
+    length_forecast: LengthForecast,
     now: Timestamp,
     resumed: bool,
 ) -> Demand {
     let first_by = if resumed { now.after(RESUME_WITHIN) } else { intake.goal_at };
     let prompt = intake.caller.prompt_tokens;
     let mut learned = shared.service_estimates(&intake.service);
-    learned.usual.observe(&growth, prompt);
+    learned.usual.observe(&length_forecast, prompt);
     if !resumed {
-        learned.shape.observe(prompt as f64, growth.length());
+        learned.shape.observe(prompt as f64, length_forecast.length());
     }
-    let memory = growth.memory_forecast(prompt, state.generated);
-    let gives = learned.usual.value(&growth, prompt);
-    Demand { memory, first_by, ends_at: intake.ends_at, value: gives, begun: resumed }
+    let memory = length_forecast.memory_forecast(prompt, state.generated);
+    let value = learned.usual.value(&length_forecast, prompt);
+    Demand { memory, first_by, ends_at: intake.ends_at, value, begun: resumed }
 }
 
-fn advise(
+fn decide(
     shared: &Shared,
     intake: &Intake,
     spec: &Engine,
@@ -135,14 +135,17 @@
 ) -> AdmissionDecision {
     let read_at = prefill::predicted_ready_at(shared, intake, state, now);
     let entries = shared.gateways_in_scope();
-    let roster = shared.registry.borrow();
+    let registry = shared.registry.borrow();
     let servers =
-        decode_engines(shared, &roster, &intake.service).filter(|s| !tried.contains(&s.id));
-    let shares = shared.load_reports.borrow();
+        decode_engines(shared, &registry, &intake.service).filter(|s| !tried.contains(&s.id));
+    let load_reports = shared.load_reports.borrow();
     let ticket = state.ticket.expect("a queued request has a ticket");
-    let work = |id: &ServerId| shares.work(now, id);
-    let view = AdmissionContext { engine: spec, read_at, entries };
-    shared.engines.borrow().decide(now, ticket, &view, servers, work, || shared.random_fraction())
+    let work = |id: &ServerId| load_reports.work(now, id);
+    let context = AdmissionContext { engine: spec, read_at, entries };
+    shared
+        .engines
+        .borrow()
+        .decide(now, ticket, &context, servers, work, || shared.random_fraction())
 }
 
 /// True if this zone's engines can't serve the request now.
@@ -151,27 +154,27 @@
     intake: &Intake,
     spec: &Engine,
     state: &StreamState,
-    need: &Demand,
+    demand: &Demand,
     now: Timestamp,
 ) -> bool {
     let read_at = prefill::predicted_ready_at(shared, intake, state, now);
-    let (roster, shares) = (shared.registry.borrow(), shared.load_reports.borrow());
-    let view = AdmissionContext { engine: spec, read_at, entries: shared.gateways_in_scope() };
-    let servers = decode_engines(shared, &roster, &intake.service);
-    let work = |id: &ServerId| shares.work(now, id);
-    shared.engines.borrow().is_short(now, need, &view, servers, work)
+    let (registry, load_reports) = (shared.registry.borrow(), shared.load_reports.borrow());
+    let context = AdmissionContext { engine: spec, read_at, entries: shared.gateways_in_scope() };
+    let servers = decode_engines(shared, &registry, &intake.service);
+    let work = |id: &ServerId| load_reports.work(now, id);
+    shared.engines.borrow().is_short(now, demand, &context, servers, work)
 }
 
 /// A service's decode engines that this gateway uses, without those that asked for a back-off.
 pub fn decode_engines<'a>(
     shared: &'a Shared,
-    roster: &'a ServerRegistry,
+    registry: &'a ServerRegistry,
     service: &'a str,
 ) -> impl Iterator<Item = &'a Server> {
     let zone = shared.zone();
     let here = move |s: &&Server| zone.as_ref().is_none_or(|zone| s.zone == *zone);
     let open = |s: &&Server| !announcements::is_unavailable(shared, &s.id);
-    roster.ready(service).filter(|s| s.stage == Some(Stage::Decode)).filter(here).filter(open)
+    registry.ready(service).filter(|s| s.stage == Some(Stage::Decode)).filter(here).filter(open)
 }
 
 /// Free memory in percent, for the log.
@@ -181,21 +184,21 @@
 
 /// Free fraction of the memory of all decode engines that this gateway uses.
 pub fn free_fraction(shared: &Shared, service: &str, spec: &Engine) -> f64 {
-    let (now, roster) = (shared.now(), shared.registry.borrow());
-    let shares = shared.load_reports.borrow();
-    let servers: Vec<&Server> = decode_engines(shared, &roster, service).collect();
+    let (now, registry) = (shared.now(), shared.registry.borrow());
+    let load_reports = shared.load_reports.borrow();
+    let servers: Vec<&Server> = decode_engines(shared, &registry, service).collect();
     let engines = shared.engines.borrow();
-    engines.free_fraction(now, &servers, spec, |id| shares.work(now, id))
+    engines.free_fraction(now, &servers, spec, |id| load_reports.work(now, id))
 }
 
 /// Number of typical requests that fit into the engines that this gateway uses.
 pub fn free_slots(shared: &Shared, service: &str, spec: &Engine) -> u32 {
     let usual = shared.service_estimates(service).shape.memory();
-    let (now, roster) = (shared.now(), shared.registry.borrow());
-    let shares = shared.load_reports.borrow();
-    let servers: Vec<&Server> = decode_engines(shared, &roster, service).collect();
+    let (now, registry) = (shared.now(), shared.registry.borrow());
+    let load_reports = shared.load_reports.borrow();
+    let servers: Vec<&Server> = decode_engines(shared, &registry, service).collect();
     let engines = shared.engines.borrow();
-    engines.free_capacity(now, &servers, spec, usual, |id| shares.work(now, id))
+    engines.free_capacity(now, &servers, spec, usual, |id| load_reports.work(now, id))
 }
 
 fn leave_queue(shared: &Shared, state: &mut StreamState) {
@@ -212,11 +215,16 @@
     state: &mut StreamState,
     id: &ServerId,
     memory: MemoryForecast,
-    growth: LengthForecast,
+    length_forecast: LengthForecast,
 ) -> Option<Server> {
     let server = shared.registry.borrow().get(id).cloned()?;
-    state.reservation =
-        Some(Reservation { server: server.clone(), hold_id: None, memory, growth, remote: None });
+    state.reservation = Some(Reservation {
+        server: server.clone(),
+        hold_id: None,
+        memory,
+        length_forecast,
+        remote: None,
+    });
     let hold = reserve(shared, spec, &server, memory).await;
     if let (Some(reservation), Some(hold)) = (&mut state.reservation, hold) {
         reservation.hold_id = Some(hold);
@@ -278,10 +286,10 @@
     shared: &Shared,
     intake: &Intake,
     spec: &Engine,
-    need: &Demand,
+    demand: &Demand,
     state: &StreamState,
     joined_at: Timestamp,
-    lack: Shortage,
+    shortage: Shortage,
 ) {
     let free = free_percent(shared, intake, spec);
     let now = shared.now();
@@ -297,9 +305,9 @@
         waiting,
         read,
         left,
-        gives = need.value,
+        gives = demand.value,
         free,
-        ?lack,
+        lack = ?shortage,
         config,
         roster,
         age,
@@ -311,7 +319,7 @@
     shared: &Shared,
     intake: &Intake,
     spec: &Engine,
-    need: &Demand,
+    demand: &Demand,
     server: &Server,
     joined_at: Timestamp,
 ) {
@@ -323,7 +331,7 @@
         id = intake.id(), server = %server.id, prompt = intake.caller.prompt_tokens,
         output = intake.caller.max_output, hint = intake.caller.hint, tokens = work.memory.now(),
         peak = work.memory.peak(),
-        count = work.count, ms, gives = need.value, free, config, roster, age, "placed"
+        count = work.count, ms, gives = demand.value, free, config, roster, age, "placed"
     );
     shared.metrics.time("gateway.place_ms", ms);
 }
--- a/crates/daemon/src/gateway/stream/incoming.rs
+++ b/crates/daemon/src/gateway/stream/incoming.rs
@@ -91,21 +91,21 @@
     let memory = request.growth.memory_forecast(request.prompt, request.made);
     let first_by = now.after(Duration::from_millis(request.first));
     // The request waits at the gateway that asks, not here, so both deadlines are the same.
-    let (gives, begun) = (request.gives, request.begun);
-    let need = Demand { memory, first_by, ends_at: first_by, value: gives, begun };
+    let (value, begun) = (request.gives, request.begun);
+    let demand = Demand { memory, first_by, ends_at: first_by, value, begun };
     let prefill_engine = prefill::fastest_engine(&shared, &request.service, request.prompt, now);
     let read_at = match &prefill_engine {
         Some((_, at)) => *at,
         None => prefill::local_ready_at(&shared, &request.service, request.prompt, now),
     };
-    let view = AdmissionContext { engine: &spec, read_at, entries: shared.gateways_in_scope() };
-    let Some(server) = choose_engine(&shared, &request.service, &need, &view) else {
-        return log_result(&shared, &request, &view, None);
+    let context = AdmissionContext { engine: &spec, read_at, entries: shared.gateways_in_scope() };
+    let Some(server) = choose_engine(&shared, &request.service, &demand, &context) else {
+        return log_result(&shared, &request, &context, None);
     };
     let Some(hold) = admission::reserve(&shared, &spec, &server, memory).await else {
-        return log_result(&shared, &request, &view, None);
+        return log_result(&shared, &request, &context, None);
     };
-    log_result(&shared, &request, &view, Some(&server.id));
+    log_result(&shared, &request, &context, Some(&server.id));
     if let Some((prefill_engine, _)) = &prefill_engine {
         shared.engines.borrow_mut().on_prefill_sent(&prefill_engine.id, request.prompt);
     }
@@ -114,7 +114,7 @@
     let mut reservation = IncomingReservation {
         server: server.id.clone(),
         memory,
-        growth: request.growth,
+        length_forecast: request.growth,
         prefilling: None,
     };
     reservation.prefilling = prefill_engine.as_ref().map(|(s, _)| (s.id.clone(), request.prompt));
@@ -130,12 +130,12 @@
 fn log_result(
     shared: &Shared,
     request: &ReservationRequest,
-    view: &AdmissionContext<'_>,
+    context: &AdmissionContext<'_>,
     server: Option<&ServerId>,
 ) {
-    let free = (admission::free_fraction(shared, &request.service, view.engine) * 100.0) as u64;
+    let free = (admission::free_fraction(shared, &request.service, context.engine) * 100.0) as u64;
     let waiting = shared.engines.borrow().waiting();
-    let read = view.read_at.since(shared.now()).as_millis() as u64;
+    let read = context.read_at.since(shared.now()).as_millis() as u64;
     let SnapshotVersion { config, roster, age } = shared.snapshot_version();
     let server = server.map(ToString::to_string);
     let message = if server.is_some() {
@@ -150,23 +150,23 @@
 fn choose_engine(
     shared: &Shared,
     service: &str,
-    need: &Demand,
-    view: &AdmissionContext<'_>,
+    demand: &Demand,
+    context: &AdmissionContext<'_>,
 ) -> Option<Server> {
-    let (now, roster, shares) =
+    let (now, registry, load_reports) =
         (shared.now(), shared.registry.borrow(), shared.load_reports.borrow());
-    let servers = admission::decode_engines(shared, &roster, service);
-    let work = |id: &ServerId| shares.work(now, id);
+    let servers = admission::decode_engines(shared, &registry, service);
+    let work = |id: &ServerId| load_reports.work(now, id);
     let engines = shared.engines.borrow();
-    let id = engines.grant(now, need, view, servers, work, || shared.random_fraction())?;
-    roster.get(&id).cloned()
+    let id = engines.grant(now, demand, context, servers, work, || shared.random_fraction())?;
+    registry.get(&id).cloned()
 }
 
 /// A request of another zone at an engine of this one.
 struct IncomingReservation {
     server: ServerId,
     memory: MemoryForecast,
-    growth: LengthForecast,
+    length_forecast: LengthForecast,
     /// The prefill engine and the prompt's tokens, until the prompt should have been read.
     prefilling: Option<(ServerId, u64)>,
 }
@@ -181,7 +181,7 @@
         done: oneshot::Receiver<()>,
     ) {
         let token = shared.service_estimates(&request.service).shape.token();
-        let length = token.mul_f64(self.growth.length() * LENGTH_FACTOR_MAX);
+        let length = token.mul_f64(self.length_forecast.length() * LENGTH_FACTOR_MAX);
         let until = read_at.after(length).after(EXTRA_TIME);
         let mut done = done;
         while shared.now() < until {
@@ -195,8 +195,9 @@
             }
             self.end_prefill(shared);
             let generated = now.since(read_at).as_secs_f64() / token.as_secs_f64().max(1e-6);
-            let after =
-                self.growth.memory_forecast(request.prompt, request.made + generated as u64);
+            let after = self
+                .length_forecast
+                .memory_forecast(request.prompt, request.made + generated as u64);
             shared.engines.borrow_mut().update_forecast(&self.server, self.memory, after);
             self.memory = after;
         }
--- a/crates/daemon/src/gateway/stream/overflow.rs
+++ b/crates/daemon/src/gateway/stream/overflow.rs
@@ -39,7 +39,7 @@
     pub prompt: u64,
     /// Tokens of the answer that the caller already has.
     pub made: u64,
-    /// Expected growth of the answer.
+    /// Forecast of the answer's length.
     pub growth: LengthForecast,
     /// Value of the request per memory, relative to a typical request.
     pub gives: f64,
@@ -103,12 +103,12 @@
     shared: &Shared,
     intake: &Intake,
     state: &StreamState,
-    need: &Demand,
+    demand: &Demand,
 ) -> Option<TargetZone> {
     let now = shared.now();
-    let within = need.first_by.since(now).checked_sub(FIRST_EVENT).unwrap_or(LATE_PREFILL_MAX);
-    let digests = shared.zone_summaries.borrow();
-    let to = digests.overflow_target(
+    let within = demand.first_by.since(now).checked_sub(FIRST_EVENT).unwrap_or(LATE_PREFILL_MAX);
+    let summaries = shared.zone_summaries.borrow();
+    let to = summaries.overflow_target(
         now,
         &intake.service,
         within,
@@ -123,12 +123,12 @@
     shared: &Shared,
     intake: &Intake,
     state: &mut StreamState,
-    need: &Demand,
-    growth: LengthForecast,
+    demand: &Demand,
+    length_forecast: LengthForecast,
     to: TargetZone,
 ) -> Option<Server> {
     let now = shared.now();
-    let left = need.first_by.since(now);
+    let left = demand.first_by.since(now);
     let TargetZone { zone, addr } = to;
     state.zones_asked.push(zone.clone());
     let request = ReservationRequest {
@@ -136,9 +136,9 @@
         service: intake.service.clone(),
         prompt: intake.caller.prompt_tokens,
         made: state.generated,
-        growth,
-        gives: need.value,
-        begun: need.begun,
+        growth: length_forecast,
+        gives: demand.value,
+        begun: demand.begun,
         first: left.as_millis() as u64,
     };
     let grant = request_grant(shared, addr, &request).await;
@@ -155,11 +155,16 @@
     }
     let Grant { id, server, hold, reader } = grant?;
     let prefill_engine = reader.map(|(s, ms)| (s, shared.now().after(Duration::from_millis(ms))));
-    let memory = need.memory;
+    let memory = demand.memory;
     shared.engines.borrow_mut().on_reserved(&server.id, memory);
     let remote = Some(RemoteReservation { addr, id, prefill_engine });
-    state.reservation =
-        Some(Reservation { server: server.clone(), hold_id: Some(hold), memory, growth, remote });
+    state.reservation = Some(Reservation {
+        server: server.clone(),
+        hold_id: Some(hold),
+        memory,
+        length_forecast,
+        remote,
+    });
     Some(server)
 }
 
--- a/crates/daemon/src/gateway/stream/prefill.rs
+++ b/crates/daemon/src/gateway/stream/prefill.rs
@@ -107,17 +107,24 @@
     now: Timestamp,
     entries: usize,
 ) -> Option<(Server, Timestamp)> {
-    let (roster, engines) = (shared.registry.borrow(), shared.engines.borrow());
+    let (registry, engines) = (shared.registry.borrow(), shared.engines.borrow());
     let own = shared.zone();
-    let prefill_engines = roster
+    let prefill_engines = registry
         .ready(service)
         .filter(|s| s.stage == Some(Stage::Prefill) && !engines.faulty(now, &s.id))
         .filter(|s| own.as_ref().is_none_or(|own| s.zone == *own))
         .filter(|s| !announcements::is_unavailable(shared, &s.id));
-    let (shares, paces) = (shared.load_reports.borrow(), shared.speed_factors.borrow());
-    let work = |id: &_| engines.own_load(id).plus(shares.work(now, id));
+    let (load_reports, speed_factors) =
+        (shared.load_reports.borrow(), shared.speed_factors.borrow());
+    let work = |id: &_| engines.own_load(id).plus(load_reports.work(now, id));
     let learned = shared.service_estimates(service);
-    let choice = ChoiceContext { speed_factors: &paces, reading: &learned.reading, prompt, zone, entries };
+    let choice = ChoiceContext {
+        speed_factors: &speed_factors,
+        reading: &learned.reading,
+        prompt,
+        zone,
+        entries,
+    };
     let picked = prefill::pick(now, prefill_engines, work, &choice, || shared.random_fraction());
     picked.map(|(s, at)| (s.clone(), at))
 }
@@ -148,7 +155,7 @@
     let limit = ready_at.since(now) + PREFILL_SLACK;
     let SnapshotVersion { config, roster, age } = shared.snapshot_version();
     state.open_attempt = Some((server.clone(), now));
-    let (fate, answer) =
+    let (outcome, answer) =
         send::complete_exchange(shared, intake, server, req, limit, Expect::Handle).await;
     state.open_attempt = None;
     let done = shared.now();
@@ -159,7 +166,7 @@
     let predicted_ms = ready_at.since(now).as_millis() as u64;
     let rate = shared.service_estimates(&intake.service).reading.rate() as u64;
     tracing::info!(
-        id = intake.id(), server = %server.id, ?fate, prompt, queue = work.unread, ms, foretold = predicted_ms,
+        id = intake.id(), server = %server.id, fate = ?outcome, prompt, queue = work.unread, ms, foretold = predicted_ms,
         rate, config, roster, age, "prefill ended"
     );
     shared.metrics.time("gateway.read_ms", ms);
@@ -186,11 +193,11 @@
         engines.on_fault(done, &server.id);
     }
     drop(engines);
-    if fate == AttemptOutcome::Lost {
+    if outcome == AttemptOutcome::Lost {
         let sent = Sent { server, run: RunStage::Begun, at: now };
         quarantine::on_lost(shared, intake, sent);
     }
-    if fate == AttemptOutcome::Moved {
+    if outcome == AttemptOutcome::Moved {
         call::on_replaced(shared, &server.id);
     }
     false
--- a/crates/daemon/src/gateway/stream/state.rs
+++ b/crates/daemon/src/gateway/stream/state.rs
@@ -29,8 +29,8 @@
     pub hold_id: Option<String>,
     /// Memory counted for the request.
     pub memory: MemoryForecast,
-    /// Expected growth of the answer.
-    pub growth: LengthForecast,
+    /// Forecast of the answer's length.
+    pub length_forecast: LengthForecast,
     /// Set if a gateway of another zone made the reservation.
     pub remote: Option<RemoteReservation>,
 }
@@ -120,7 +120,7 @@
     pub fn record_generated(&mut self, shared: &Shared, prompt: u64, generated: u64) {
         self.generated = generated;
         if let Some(reservation) = &mut self.reservation {
-            let after = reservation.growth.memory_forecast(prompt, generated);
+            let after = reservation.length_forecast.memory_forecast(prompt, generated);
             shared.engines.borrow_mut().update_forecast(
                 &reservation.server.id,
                 reservation.memory,
--- a/crates/router/src/quota/ownership.rs
+++ b/crates/router/src/quota/ownership.rs
@@ -82,8 +82,11 @@
             higher_ranked.iter().all(|n| unreachable.contains(n)) && !unreachable.contains(&own)
         };
         let all = fleet.all();
-        let count =
-            all.keys().filter_map(|name| reports.unreachable(name)).filter(|m| asks_here(m)).count();
+        let count = all
+            .keys()
+            .filter_map(|name| reports.unreachable(name))
+            .filter(|m| asks_here(m))
+            .count();
         count as f64 / all.len().max(1) as f64
     }
 }
--- a/crates/router/tests/delegate.rs
+++ b/crates/router/tests/delegate.rs
@@ -161,7 +161,10 @@
 #[test]
 fn a_silent_zone_leader_does_not_count() {
     let mut shares = LoadReports::default();
-    shares.on_report(NOW, LoadReport { name: "a".into(), seq: 1, link: HEARD, ..LoadReport::default() });
+    shares.on_report(
+        NOW,
+        LoadReport { name: "a".into(), seq: 1, link: HEARD, ..LoadReport::default() },
+    );
     assert_eq!(shares.link(NOW, "a"), Some(HEARD));
     assert_eq!(shares.link(NOW.after(LEADER_TIMEOUT), "a"), None);
     assert_eq!(shares.best_link(NOW.after(LEADER_TIMEOUT)), StoreLink::Indirect);
@@ -173,8 +176,10 @@
     let links =
         [StoreLink::Indirect, StoreLink::Away, StoreLink::Heard { settles: 900, age: 0 }, HEARD];
     for (n, link) in links.into_iter().enumerate() {
-        shares
-            .on_report(NOW, LoadReport { name: format!("p{n}"), seq: 1, link, ..LoadReport::default() });
+        shares.on_report(
+            NOW,
+            LoadReport { name: format!("p{n}"), seq: 1, link, ..LoadReport::default() },
+        );
         assert_eq!(shares.best_link(NOW), link);
     }
 }
--- a/crates/router/tests/load/world.rs
+++ b/crates/router/tests/load/world.rs
@@ -240,8 +240,13 @@
         let rng = &mut self.rng;
         let paces = SpeedFactors::default();
         let reading = PrefillSpeed::default();
-        let choice =
-            ChoiceContext { speed_factors: &paces, reading: &reading, prompt, zone: "z", entries: 4 };
+        let choice = ChoiceContext {
+            speed_factors: &paces,
+            reading: &reading,
+            prompt,
+            zone: "z",
+            entries: 4,
+        };
         let picked =
             prefill::pick(self.now, prefill_engines.iter(), work, &choice, || rng.random());
         let (server, at) = picked.unwrap_or((&prefill_engines[0], self.now.after(CALLER_TIMEOUT)));
--- a/crates/router/tests/prefill.rs
+++ b/crates/router/tests/prefill.rs
@@ -32,8 +32,13 @@
     };
     let paces = SpeedFactors::default();
     let reading = PrefillSpeed::default();
-    let choice =
-        ChoiceContext { speed_factors: &paces, reading: &reading, prompt: 3_200, zone: "z0", entries };
+    let choice = ChoiceContext {
+        speed_factors: &paces,
+        reading: &reading,
+        prompt: 3_200,
+        zone: "z0",
+        entries,
+    };
     let mut drawn = 0;
     let draw = || {
         drawn += 1;
--- a/crates/router/tests/quarantine.rs
+++ b/crates/router/tests/quarantine.rs
@@ -168,10 +168,8 @@
         all.apply(NOW, &update(RequestDigest(n, 2), crash(&format!("i-{n:010x}"), true)));
     }
     assert!(
-        (0..100).all(|n| matches!(
-            all.state(NOW, &RequestDigest(n, 1)),
-            QuarantineState::Confirmed(_)
-        ))
+        (0..100)
+            .all(|n| matches!(all.state(NOW, &RequestDigest(n, 1)), QuarantineState::Confirmed(_)))
     );
     let (suspects, confirmed) = all.counts();
     assert!(suspects <= SUSPECTS_MAX, "{suspects}");
--- a/crates/router/tests/zones.rs
+++ b/crates/router/tests/zones.rs
@@ -36,8 +36,10 @@
     for n in 0..222 {
         let name = format!("front-siracusa-ortigia-{n}");
         let now = NOW.after(Duration::from_millis(n));
-        digests
-            .on_summary(now, ZoneSummary { name, ..digest(["b", "c", "d"][n as usize % 3], 1, 500, 90) });
+        digests.on_summary(
+            now,
+            ZoneSummary { name, ..digest(["b", "c", "d"][n as usize % 3], 1, 500, 90) },
+        );
     }
     let now = NOW.after(SOON);
     let relayed: Vec<ZoneSummary> = digests.passed_on(now).cloned().collect();
@@ -140,7 +142,10 @@
 fn a_summary_is_valid_for_a_while() {
     let mut digests = ZoneSummaries::default();
     assert!(digests.on_summary(NOW, digest("a", 5, 500, 0)));
-    assert!(!digests.on_summary(NOW.after(SOON), digest("a", 5, 500, 0)), "relayed by another gateway");
+    assert!(
+        !digests.on_summary(NOW.after(SOON), digest("a", 5, 500, 0)),
+        "relayed by another gateway"
+    );
     assert!(!digests.on_summary(NOW.after(SOON), digest("a", 4, 500, 0)), "outdated");
     let later = NOW.after(SUMMARY_LIFETIME);
     assert_eq!(overflow_zone(&digests, later, &[], 0.5), None);
