--- a/crates/router/src/admission_queue.rs
+++ b/crates/router/src/admission_queue.rs
@@ -133,17 +133,17 @@
         &mut self,
         now: Timestamp,
         sent: Timestamp,
-        fate: AttemptOutcome,
+        outcome: AttemptOutcome,
         load: Option<Load>,
     ) {
         let full = self.free_slots(now) < 1.0;
         self.on_abandoned(sent);
-        if let AttemptOutcome::Answered(_) = fate {
+        if let AttemptOutcome::Answered(_) = outcome {
             let took = now.since(sent).as_secs_f64();
             self.mean_secs += NEW_WEIGHT * (took.min(STUCK_AFTER.as_secs_f64()) - self.mean_secs);
         }
         let queue = load.map_or(0.0, |l| f64::from(l.waiting) / f64::from(l.slots.max(1)));
-        match fate {
+        match outcome {
             AttemptOutcome::Rejected => self.decrease(now, sent, REJECTED_FACTOR),
             _ if queue > LONG_QUEUE => self.decrease(now, sent, LONG_QUEUE_FACTOR),
             // A backend server with free slots can take one more call at once.
--- a/crates/router/src/answer_length.rs
+++ b/crates/router/src/answer_length.rs
@@ -168,19 +168,19 @@
 
 impl TypicalRequest {
     /// Records a request that arrived.
-    pub fn observe(&mut self, growth: &LengthForecast, prompt: u64) {
+    pub fn observe(&mut self, forecast: &LengthForecast, prompt: u64) {
         self.count += 1.0;
         let weight = (1.0 / self.count).max(SAMPLE_WEIGHT_MIN);
-        self.cost += weight * (growth.cost(prompt) - self.cost);
-        self.size += weight * (growth.size(prompt) - self.size);
+        self.cost += weight * (forecast.cost(prompt) - self.cost);
+        self.size += weight * (forecast.size(prompt) - self.size);
     }
 
     /// Returns a request's value for the memory that it is expected to take, relative to the
     /// average request. An answer of twice the length takes more memory for twice the time, but is
     /// worth less than twice as much to its caller.
-    pub fn value(&self, growth: &LengthForecast, prompt: u64) -> f64 {
-        let value = FIXED_VALUE + (1.0 - FIXED_VALUE) * growth.size(prompt) / self.size.max(1.0);
-        value * self.cost / growth.cost(prompt).max(1.0)
+    pub fn value(&self, forecast: &LengthForecast, prompt: u64) -> f64 {
+        let value = FIXED_VALUE + (1.0 - FIXED_VALUE) * forecast.size(prompt) / self.size.max(1.0);
+        value * self.cost / forecast.cost(prompt).max(1.0)
     }
 }
 
--- a/crates/router/src/back_offs.rs
+++ b/crates/router/src/back_offs.rs
@@ -24,8 +24,13 @@
 
 impl BackOffs {
     /// Records the back-off that a server asked for. Returns its end, and whether it is applied as stated.
-    pub fn record(&mut self, now: Timestamp, id: &ServerId, pause: BackOff) -> (Timestamp, bool) {
-        let (time, as_stated) = match pause {
+    pub fn record(
+        &mut self,
+        now: Timestamp,
+        id: &ServerId,
+        back_off: BackOff,
+    ) -> (Timestamp, bool) {
+        let (time, as_stated) = match back_off {
             BackOff::For(time) => (time.min(BACK_OFF_MAX), time <= BACK_OFF_MAX),
             BackOff::Unreadable => (BACK_OFF_DEFAULT, false),
         };
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -114,7 +114,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Waiter {
-    need: Demand,
+    demand: Demand,
     /// It arrived when its goal was past or too close to be met.
     late: bool,
     /// On arrival its prompt could still be processed in time.
@@ -126,7 +126,7 @@
 impl Waiter {
     /// Returns the value per memory, relative to the typical request.
     fn relative_value(&self) -> f64 {
-        self.need.relative_value(self.late)
+        self.demand.relative_value(self.late)
     }
 }
 
@@ -186,17 +186,17 @@
 
 impl EngineAdmission {
     /// Adds a request to the admission queue; `read_at` is when prefill would end if it were
-    /// admitted now. `advise` then says what to do with it.
-    pub fn join(&mut self, now: Timestamp, need: Demand, read_at: Timestamp) -> Ticket {
+    /// admitted now. `decide` then says what to do with it.
+    pub fn join(&mut self, now: Timestamp, demand: Demand, read_at: Timestamp) -> Ticket {
         self.next_ticket += 1;
         let ticket = Ticket(self.next_ticket);
-        let late = need.is_late(now);
+        let late = demand.is_late(now);
         let until = match late {
             true => now.after(LATE_WAIT),
-            false => need.first_by.before(FIRST_EVENT).before(read_at.since(now)).max(now),
+            false => demand.first_by.before(FIRST_EVENT).before(read_at.since(now)).max(now),
         };
-        let prefill_in_time = need.in_time(read_at);
-        self.waiting.insert(ticket, Waiter { need, late, prefill_in_time, until });
+        let prefill_in_time = demand.in_time(read_at);
+        self.waiting.insert(ticket, Waiter { demand, late, prefill_in_time, until });
         ticket
     }
 
@@ -205,46 +205,48 @@
         self.waiting.remove(&ticket);
     }
 
-    /// Decides what a waiting request should do now; `work` is the peers' load at an engine, `draw`
+    /// Decides what a waiting request should do now; `peer_load` is the peers' load at an engine, `draw`
     /// is uniform in 0..1.
     pub fn decide<'a>(
         &self,
         now: Timestamp,
         ticket: Ticket,
-        view: &AdmissionContext<'_>,
+        context: &AdmissionContext<'_>,
         servers: impl Iterator<Item = &'a Server>,
-        work: impl Fn(&ServerId) -> EngineLoad,
+        peer_load: impl Fn(&ServerId) -> EngineLoad,
         mut draw: impl FnMut() -> f64,
     ) -> AdmissionDecision {
         let Some(waiter) = self.waiting.get(&ticket) else {
             return AdmissionDecision::Refuse(now, Shortage::Time);
         };
         let prefill_in_time = match waiter.late {
-            true => view.read_at.since(now) <= LATE_PREFILL_MAX,
-            false => waiter.need.in_time(view.read_at),
+            true => context.read_at.since(now) <= LATE_PREFILL_MAX,
+            false => waiter.demand.in_time(context.read_at),
         };
         let servers: Vec<&Server> = servers.collect();
-        let threshold = value_threshold(self.free_fraction(now, &servers, view.engine, &work));
+        let threshold =
+            value_threshold(self.free_fraction(now, &servers, context.engine, &peer_load));
         let ahead = self.requests_ahead(ticket, waiter, threshold);
-        let room = self.most_free(now, &servers, view, &work, waiter.need.memory, &mut draw);
+        let engine =
+            self.most_free(now, &servers, context, &peer_load, waiter.demand.memory, &mut draw);
         if let (true, true, 0, Some(id)) =
-            (prefill_in_time, waiter.relative_value() >= threshold, ahead, &room)
+            (prefill_in_time, waiter.relative_value() >= threshold, ahead, &engine)
         {
             return AdmissionDecision::Ask(id.clone());
         }
         // With free memory, the requests ahead only have to ask for it, which takes milliseconds.
-        let hopeless = room.is_none() && self.predicted_admission(now, ahead) > waiter.until;
+        let hopeless = engine.is_none() && self.predicted_admission(now, ahead) > waiter.until;
         if now >= waiter.until || !waiter.late && (!prefill_in_time || hopeless) {
             // A request that waited for memory until prefill could no longer be in time was missing
             // memory.
-            let missing = match (waiter.late, waiter.prefill_in_time) {
+            let shortage = match (waiter.late, waiter.prefill_in_time) {
                 (true, _) => Shortage::Time,
                 (false, false) => Shortage::Reader,
                 (false, true) => Shortage::Memory,
             };
             return AdmissionDecision::Refuse(
-                retry_after(now, waiter.need.ends_at, draw()),
-                missing,
+                retry_after(now, waiter.demand.ends_at, draw()),
+                shortage,
             );
         }
         AdmissionDecision::Wait(now.after(RECHECK_INTERVAL).min(waiter.until))
@@ -255,18 +257,21 @@
     pub fn is_short<'a>(
         &self,
         now: Timestamp,
-        need: &Demand,
-        view: &AdmissionContext<'_>,
+        demand: &Demand,
+        context: &AdmissionContext<'_>,
         servers: impl Iterator<Item = &'a Server>,
-        work: impl Fn(&ServerId) -> EngineLoad,
+        peer_load: impl Fn(&ServerId) -> EngineLoad,
     ) -> bool {
         let servers: Vec<&Server> = servers.collect();
-        let late = need.is_late(now);
-        let prefill_in_time = late || need.in_time(view.read_at);
-        let threshold = value_threshold(self.free_fraction(now, &servers, view.engine, &work));
+        let late = demand.is_late(now);
+        let prefill_in_time = late || demand.in_time(context.read_at);
+        let threshold =
+            value_threshold(self.free_fraction(now, &servers, context.engine, &peer_load));
         !prefill_in_time
-            || need.relative_value(late) < threshold
-            || self.most_free(now, &servers, view, &work, need.memory, &mut || 0.0).is_none()
+            || demand.relative_value(late) < threshold
+            || self
+                .most_free(now, &servers, context, &peer_load, demand.memory, &mut || 0.0)
+                .is_none()
     }
 
     /// Picks an engine for a request that overflows from another availability zone. It never waits
@@ -274,24 +279,25 @@
     pub fn grant<'a>(
         &self,
         now: Timestamp,
-        need: &Demand,
-        view: &AdmissionContext<'_>,
+        demand: &Demand,
+        context: &AdmissionContext<'_>,
         servers: impl Iterator<Item = &'a Server>,
-        work: impl Fn(&ServerId) -> EngineLoad,
+        peer_load: impl Fn(&ServerId) -> EngineLoad,
         mut draw: impl FnMut() -> f64,
     ) -> Option<ServerId> {
         let servers: Vec<&Server> = servers.collect();
-        let late = need.is_late(now);
+        let late = demand.is_late(now);
         let prefill_in_time = match late {
-            true => view.read_at.since(now) <= LATE_PREFILL_MAX,
-            false => need.in_time(view.read_at),
+            true => context.read_at.since(now) <= LATE_PREFILL_MAX,
+            false => demand.in_time(context.read_at),
         };
-        let threshold = value_threshold(self.free_fraction(now, &servers, view.engine, &work));
+        let threshold =
+            value_threshold(self.free_fraction(now, &servers, context.engine, &peer_load));
         let above = self.waiting.values().filter(|w| w.relative_value() >= threshold).count();
-        if !prefill_in_time || above > 0 || need.relative_value(late) < threshold {
+        if !prefill_in_time || above > 0 || demand.relative_value(late) < threshold {
             return None;
         }
-        self.most_free(now, &servers, view, &work, need.memory, &mut draw)
+        self.most_free(now, &servers, context, &peer_load, demand.memory, &mut draw)
     }
 
     /// Records that an engine reserved memory for a request.
@@ -419,7 +425,7 @@
     /// Counts the requests above the value threshold that come before this one: requests in time
     /// first, by earliest goal.
     fn requests_ahead(&self, ticket: Ticket, waiter: &Waiter, threshold: f64) -> usize {
-        let rank = |t: Ticket, w: &Waiter| (w.late, w.need.first_by, t);
+        let rank = |t: Ticket, w: &Waiter| (w.late, w.demand.first_by, t);
         let mine = rank(ticket, waiter);
         self.waiting
             .iter()
@@ -433,11 +439,11 @@
         now: Timestamp,
         servers: &[&Server],
         engine: &Engine,
-        work: impl Fn(&ServerId) -> EngineLoad,
+        peer_load: impl Fn(&ServerId) -> EngineLoad,
     ) -> f64 {
         let (mut free, mut all) = (0, 0);
         for s in servers.iter().filter(|s| !self.faulty(now, &s.id)) {
-            let used = self.own_load(&s.id).plus(work(&s.id)).memory;
+            let used = self.own_load(&s.id).plus(peer_load(&s.id)).memory;
             free += used.room(engine.tokens, MARGIN_SIGMAS).max(0) as u64;
             all += engine.tokens;
         }
@@ -451,10 +457,10 @@
         servers: &[&Server],
         engine: &Engine,
         typical: MemoryForecast,
-        work: impl Fn(&ServerId) -> EngineLoad,
+        peer_load: impl Fn(&ServerId) -> EngineLoad,
     ) -> u32 {
         let places = |s: &&&Server| {
-            let all = self.own_load(&s.id).plus(work(&s.id));
+            let all = self.own_load(&s.id).plus(peer_load(&s.id));
             let room = all.memory.room(engine.tokens, MARGIN_SIGMAS).max(0) as u64;
             let slots = engine.slots.saturating_sub(all.count);
             slots.min((room / typical.peak().max(1)) as u32)
@@ -477,23 +483,23 @@
         &self,
         now: Timestamp,
         servers: &[&Server],
-        view: &AdmissionContext<'_>,
-        work: &impl Fn(&ServerId) -> EngineLoad,
+        context: &AdmissionContext<'_>,
+        peer_load: &impl Fn(&ServerId) -> EngineLoad,
         memory: MemoryForecast,
         draw: &mut impl FnMut() -> f64,
     ) -> Option<ServerId> {
         let room = |s: &Server| {
-            let all = self.own_load(&s.id).plus(work(&s.id));
-            let room = all.memory.plus(memory).room(view.engine.tokens, MARGIN_SIGMAS);
+            let all = self.own_load(&s.id).plus(peer_load(&s.id));
+            let room = all.memory.plus(memory).room(context.engine.tokens, MARGIN_SIGMAS);
             // An idle engine takes an answer that fits its memory now, even if it may outgrow it.
-            let idle_fit = all.count == 0 && memory.reserved() <= view.engine.tokens;
-            ((room >= 0 || idle_fit) && all.count < view.engine.slots).then_some(room)
+            let idle_fit = all.count == 0 && memory.reserved() <= context.engine.tokens;
+            ((room >= 0 || idle_fit) && all.count < context.engine.slots).then_some(room)
         };
         let servers = servers.iter().filter(|s| self.may_take(now, &s.id));
         let mut candidates: Vec<(f64, i64, &Server)> =
             servers.filter_map(|s| Some((draw(), room(s)?, *s))).collect();
         candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let sample_len = sample_size(candidates.len(), view.entries).min(candidates.len());
+        let sample_len = sample_size(candidates.len(), context.entries).min(candidates.len());
         candidates[..sample_len]
             .iter()
             .max_by_key(|(_, free, _)| *free)
--- a/crates/router/src/load_report.rs
+++ b/crates/router/src/load_report.rs
@@ -202,7 +202,7 @@
 #[derive(Clone, Debug)]
 struct Peer {
     received_at: Timestamp,
-    share: LoadReport,
+    report: LoadReport,
 }
 
 /// The latest load report of each peer.
@@ -213,13 +213,13 @@
 
 impl LoadReports {
     /// Stores a load report; false when it is older than the one known.
-    pub fn on_report(&mut self, now: Timestamp, share: LoadReport) -> bool {
-        if let Some(peer) = self.peers.get(&share.name)
-            && (peer.share.life, peer.share.seq) >= (share.life, share.seq)
+    pub fn on_report(&mut self, now: Timestamp, report: LoadReport) -> bool {
+        if let Some(peer) = self.peers.get(&report.name)
+            && (peer.report.life, peer.report.seq) >= (report.life, report.seq)
         {
             return false;
         }
-        self.peers.insert(share.name.clone(), Peer { received_at: now, share });
+        self.peers.insert(report.name.clone(), Peer { received_at: now, report });
         true
     }
 
@@ -230,7 +230,7 @@
         self.peers
             .values()
             .filter(|p| now.since(p.received_at) < timeout)
-            .filter_map(|p| p.share.work.get(&number))
+            .filter_map(|p| p.report.work.get(&number))
             .fold(EngineLoad::default(), |sum, w| sum.plus(*w))
     }
 
@@ -243,7 +243,7 @@
     /// Returns how a peer learns of changes in the store; `None` when it is silent.
     pub fn link(&self, now: Timestamp, name: &str) -> Option<StoreLink> {
         let peer = self.peers.get(name)?;
-        (now.since(peer.received_at) < LEADER_TIMEOUT).then_some(peer.share.link)
+        (now.since(peer.received_at) < LEADER_TIMEOUT).then_some(peer.report.link)
     }
 
     /// Returns the gateways from which this one, named `own`, receives nothing.
@@ -257,12 +257,12 @@
 
     /// Returns the gateways that another gateway reports as unreachable; `None` when it is silent.
     pub fn missed_by(&self, now: Timestamp, name: &str) -> Option<&UnreachableGateways> {
-        self.recent_report(now, name).map(|share| &share.missing)
+        self.recent_report(now, name).map(|report| &report.missing)
     }
 
     fn recent_report(&self, now: Timestamp, name: &str) -> Option<&LoadReport> {
         let peer = self.peers.get(name)?;
-        (now.since(peer.received_at) < LEADER_TIMEOUT).then_some(&peer.share)
+        (now.since(peer.received_at) < LEADER_TIMEOUT).then_some(&peer.report)
     }
 
     /// Returns the best connection to the store that any peer reports.
@@ -273,7 +273,7 @@
             StoreLink::Indirect => (2, 0),
         };
         let recent = self.peers.values().filter(|p| now.since(p.received_at) < LEADER_TIMEOUT);
-        recent.map(|p| p.share.link).min_by_key(rank).unwrap_or_default()
+        recent.map(|p| p.report.link).min_by_key(rank).unwrap_or_default()
     }
 
     /// Returns the time as of which a list of backend servers of this revision is known to be
@@ -281,8 +281,8 @@
     /// there is no such report.
     pub fn known_at(&self, now: Timestamp, roster: u64) -> Option<Timestamp> {
         let recent = self.peers.values().filter(|p| now.since(p.received_at) < LEADER_TIMEOUT);
-        let not_newer = recent.filter(|p| p.share.roster <= roster);
-        let at = not_newer.filter_map(|p| match p.share.link {
+        let not_newer = recent.filter(|p| p.report.roster <= roster);
+        let at = not_newer.filter_map(|p| match p.report.link {
             StoreLink::Heard { age, .. } => {
                 Some(p.received_at.before(Duration::from_millis(age.into())))
             }
--- a/crates/router/src/lost_attempts.rs
+++ b/crates/router/src/lost_attempts.rs
@@ -154,17 +154,17 @@
 
     /// Time of the next probe.
     pub fn next_probe_at(&self) -> Option<Timestamp> {
-        let asks =
+        let open =
             self.investigations.values().filter(|investigation| investigation.probes < PROBES_MAX);
-        asks.map(|investigation| investigation.probe_at).min()
+        open.map(|investigation| investigation.probe_at).min()
     }
 
     /// Records the result of a probe; true if the server has crashed.
-    pub fn on_probe_result(&mut self, id: &ServerId, found: ProbeResult) -> bool {
+    pub fn on_probe_result(&mut self, id: &ServerId, result: ProbeResult) -> bool {
         let Some(investigation) = self.investigations.get_mut(id) else {
             return false;
         };
-        match found {
+        match result {
             ProbeResult::Other => true,
             ProbeResult::Nobody => {
                 investigation.refusals += 1;
@@ -191,9 +191,9 @@
     }
 
     /// Whether an attempt of this request is under investigation.
-    pub fn is_investigated(&self, content: &RequestDigest) -> bool {
+    pub fn is_investigated(&self, digest: &RequestDigest) -> bool {
         self.investigations.values().any(|investigation| {
-            investigation.attempts.iter().any(|attempt| attempt.digest == *content)
+            investigation.attempts.iter().any(|attempt| attempt.digest == *digest)
         })
     }
 }
--- a/crates/router/src/outcome.rs
+++ b/crates/router/src/outcome.rs
@@ -135,9 +135,9 @@
     }
 
     /// Records the outcome of the attempt.
-    pub fn record(&mut self, fate: AttemptOutcome) {
+    pub fn record(&mut self, outcome: AttemptOutcome) {
         self.in_flight = false;
-        match fate.verdict() {
+        match outcome.verdict() {
             Verdict::NotRun => self.rejections += 1,
             Verdict::MayHaveRun => self.runs += 1,
         }
--- a/crates/router/src/plain_servers.rs
+++ b/crates/router/src/plain_servers.rs
@@ -109,7 +109,7 @@
         now: Timestamp,
         id: &ServerId,
         sent: Timestamp,
-        fate: AttemptOutcome,
+        outcome: AttemptOutcome,
         load: Option<Load>,
     ) {
         let stats = self.by_server.entry(id.clone()).or_default();
@@ -117,13 +117,13 @@
         if let Some(load) = load {
             stats.load = Some((now, load));
         }
-        match fate {
+        match outcome {
             AttemptOutcome::Unsent | AttemptOutcome::Moved => {
                 stats.back_off_until = now.after(BACK_OFF)
             }
             AttemptOutcome::Rejected => {}
             AttemptOutcome::Answered(_) | AttemptOutcome::Lost => {
-                let failed = if fate.failed() { 1.0 } else { 0.0 };
+                let failed = if outcome.failed() { 1.0 } else { 0.0 };
                 stats.failure_rate += NEW_WEIGHT * (failed - stats.failure_rate);
                 stats.rated_at = now;
                 let took = now.since(sent).as_secs_f64() * 1e3;
--- a/crates/router/src/prefill_speed.rs
+++ b/crates/router/src/prefill_speed.rs
@@ -69,14 +69,14 @@
     }
 
     /// Returns how long an engine with this load takes until it has processed a prompt.
-    pub fn time(&self, work: EngineLoad, prompt: u64) -> Duration {
-        Duration::from_secs_f64((work.unread + prompt) as f64 / self.rate + self.overhead)
+    pub fn time(&self, load: EngineLoad, prompt: u64) -> Duration {
+        Duration::from_secs_f64((load.unread + prompt) as f64 / self.rate + self.overhead)
     }
 
-    /// Records that prefill took `took`; `work` is the engine's load known when the prompt was
+    /// Records that prefill took `took`; `load` is the engine's load known when the prompt was
     /// sent.
-    pub fn observe(&mut self, work: EngineLoad, prompt: u64, took: Duration) {
-        if work.reads > 0 {
+    pub fn observe(&mut self, load: EngineLoad, prompt: u64, took: Duration) {
+        if load.reads > 0 {
             return;
         }
         if self.samples.len() == SAMPLES_MAX {
@@ -108,8 +108,8 @@
             .iter()
             .enumerate()
             .flat_map(|(i, a)| all[i + 1..].iter().filter_map(|b| Line::through(*a, *b)));
-        let loss = |line: &Line| all.iter().map(|s| line.loss(*s)).sum::<f64>();
-        let best = lines.map(|line| (loss(&line), line)).min_by(|a, b| a.0.total_cmp(&b.0));
+        let total_loss = |line: &Line| all.iter().map(|s| line.loss(*s)).sum::<f64>();
+        let best = lines.map(|line| (total_loss(&line), line)).min_by(|a, b| a.0.total_cmp(&b.0));
         if let Some((_, line)) = best {
             self.rate = 1.0 / line.slope;
             self.overhead = line.overhead;
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -275,11 +275,11 @@
             return Change::Nothing;
         }
         row.crashes.push(crash);
-        let proved = row.confirmed_at.is_none() && row.points() >= CONFIRM_POINTS;
-        if proved {
+        let confirmed = row.confirmed_at.is_none() && row.points() >= CONFIRM_POINTS;
+        if confirmed {
             row.confirmed_at = row.crashes.iter().map(|e| e.at).max();
         }
-        let change = if proved { Change::Confirmed } else { Change::Suspected };
+        let change = if confirmed { Change::Confirmed } else { Change::Suspected };
         self.evict();
         change
     }
@@ -318,7 +318,7 @@
         row.released_at = at;
         row.crashes.retain(|e| e.at > at);
         row.holds.clear();
-        row.confirmed_at = row.confirmed_at.filter(|proved| *proved > at);
+        row.confirmed_at = row.confirmed_at.filter(|confirmed| *confirmed > at);
         if row.confirmed_at.is_none() { Change::Cleared } else { Change::Nothing }
     }
 
@@ -354,18 +354,18 @@
 
     /// Number of suspect and of confirmed requests.
     pub fn counts(&self) -> (usize, usize) {
-        let proved = self.rows.values().filter(|r| r.confirmed_at.is_some()).count();
+        let confirmed = self.rows.values().filter(|r| r.confirmed_at.is_some()).count();
         let suspect = self.rows.values().filter(|r| r.confirmed_at.is_none() && r.is_suspect());
-        (suspect.count(), proved)
+        (suspect.count(), confirmed)
     }
 
     /// Drops expired rows, and returns the confirmed requests among them.
     pub fn expire(&mut self, now: Timestamp) -> Vec<RequestDigest> {
         let expired = |row: &Row| row.ends_at() <= now;
-        let proved = |(digest, row): (&RequestDigest, &Row)| {
+        let confirmed = |(digest, row): (&RequestDigest, &Row)| {
             (expired(row) && row.confirmed_at.is_some()).then_some(*digest)
         };
-        let forgotten = self.rows.iter().filter_map(proved).collect();
+        let forgotten = self.rows.iter().filter_map(confirmed).collect();
         self.rows.retain(|_, row| !expired(row));
         for row in self.rows.values_mut() {
             row.crashes.retain(|e| e.at.after(SUSPECT_TTL) > now);
@@ -379,11 +379,11 @@
         if self.rows.len() < self.check_at.max(CHECK_ROWS) {
             return;
         }
-        for (proved, max) in [(false, SUSPECTS_MAX), (true, CONFIRMED_MAX)] {
+        for (confirmed, max) in [(false, SUSPECTS_MAX), (true, CONFIRMED_MAX)] {
             let mut rows: Vec<(u32, Timestamp, RequestDigest)> = self
                 .rows
                 .iter()
-                .filter(|(_, row)| row.confirmed_at.is_some() == proved)
+                .filter(|(_, row)| row.confirmed_at.is_some() == confirmed)
                 .map(|(digest, row)| (row.points(), row.ends_at(), *digest))
                 .collect();
             if rows.len() + CHECK_ROWS <= max {
--- a/crates/router/src/stages.rs
+++ b/crates/router/src/stages.rs
@@ -140,14 +140,14 @@
 
 impl Planner {
     /// Returns the next engine of a service to change and its new stage; at most one.
-    pub fn next(&mut self, now: Timestamp, view: &PlanContext<'_>) -> Option<(ServerId, Stage)> {
-        self.drop_finished(now, view.groups);
-        let change = self.change(view);
-        if !self.is_due(now, view, change.map(|(_, stage)| stage)) {
+    pub fn next(&mut self, now: Timestamp, context: &PlanContext<'_>) -> Option<(ServerId, Stage)> {
+        self.drop_finished(now, context.groups);
+        let change = self.change(context);
+        if !self.is_due(now, context, change.map(|(_, stage)| stage)) {
             return None;
         }
         let (group, stage) = change?;
-        let servers = &view.groups[group];
+        let servers = &context.groups[group];
         let available = servers.iter().filter(|s| !self.orders.contains_key(&s.id));
         let pick = match stage {
             // The engine comes from the availability zone with the most prefill engines.
@@ -174,14 +174,15 @@
     /// and the change brings it nearer. Without the second rule, six zones of six engines that each
     /// kept a little less than one prefill engine too many had 24 decode engines where 30 were
     /// wanted.
-    fn change(&self, view: &PlanContext<'_>) -> Option<(usize, Stage)> {
-        let shape = view.shape.unwrap_or_default();
-        let tolerance = if view.shape.is_some() { TOLERANCE } else { TOLERANCE_INITIAL };
+    fn change(&self, context: &PlanContext<'_>) -> Option<(usize, Stage)> {
+        let shape = context.shape.unwrap_or_default();
+        let tolerance = if context.shape.is_some() { TOLERANCE } else { TOLERANCE_INITIAL };
         let gap = |servers: &Vec<&Server>| {
-            let wanted = wanted_prefill_engines(servers.len(), view.engine, &shape, view.rate);
+            let wanted =
+                wanted_prefill_engines(servers.len(), context.engine, &shape, context.rate);
             wanted - self.prefill_count(servers, None) as f64
         };
-        let gaps: Vec<f64> = view.groups.iter().map(gap).collect();
+        let gaps: Vec<f64> = context.groups.iter().map(gap).collect();
         let total: f64 = gaps.iter().sum();
         [(1.0, Stage::Prefill), (-1.0, Stage::Decode)].into_iter().find_map(|(sign, stage)| {
             let farthest = gaps.iter().map(|gap| gap * sign).enumerate();
@@ -193,17 +194,17 @@
 
     /// Has this change been wanted for long enough? Before requests were seen the plan is stable
     /// and there is no load yet, so the change is made at once.
-    fn is_due(&mut self, now: Timestamp, view: &PlanContext<'_>, change: Option<Stage>) -> bool {
+    fn is_due(&mut self, now: Timestamp, context: &PlanContext<'_>, change: Option<Stage>) -> bool {
         let Some(stage) = change else {
-            self.wanted.remove(view.service);
+            self.wanted.remove(context.service);
             return false;
         };
-        let since = match self.wanted.get(view.service) {
+        let since = match self.wanted.get(context.service) {
             Some((before, since)) if *before == stage => *since,
             _ => now,
         };
-        self.wanted.insert(view.service.to_owned(), (stage, since));
-        view.shape.is_none() || now.since(since) >= CHANGE_DELAY
+        self.wanted.insert(context.service.to_owned(), (stage, since));
+        context.shape.is_none() || now.since(since) >= CHANGE_DELAY
     }
 
     /// Returns the engines whose orders have not taken effect yet.
--- a/crates/router/src/zones.rs
+++ b/crates/router/src/zones.rs
@@ -144,35 +144,35 @@
 impl ZoneSummaries {
     /// Stores a summary, received from its sender or relayed; false when it is not newer than the
     /// one known.
-    pub fn on_summary(&mut self, now: Timestamp, digest: ZoneSummary) -> bool {
-        if let Some((_, before)) = self.summaries.get(&digest.name)
-            && (before.life, before.seq) >= (digest.life, digest.seq)
+    pub fn on_summary(&mut self, now: Timestamp, summary: ZoneSummary) -> bool {
+        if let Some((_, before)) = self.summaries.get(&summary.name)
+            && (before.life, before.seq) >= (summary.life, summary.seq)
         {
             return false;
         }
-        self.summaries.insert(digest.name.clone(), (now, digest));
+        self.summaries.insert(summary.name.clone(), (now, summary));
         true
     }
 
     /// Returns the summaries that are still valid.
     pub fn live(&self, now: Timestamp) -> impl Iterator<Item = &ZoneSummary> {
         let counts = move |at: &Timestamp| now.since(*at) < SUMMARY_LIFETIME;
-        self.summaries.values().filter(move |(at, _)| counts(at)).map(|(_, digest)| digest)
+        self.summaries.values().filter(move |(at, _)| counts(at)).map(|(_, summary)| summary)
     }
 
     /// Returns the latest summary of each zone, by zone, which a zone leader relays. The leaders of
     /// a zone report much the same, and in a fleet that starts all gateways are leaders.
     pub fn passed_on(&self, now: Timestamp) -> impl Iterator<Item = &ZoneSummary> {
         let mut latest: BTreeMap<&str, (Timestamp, &ZoneSummary)> = BTreeMap::new();
-        for (at, digest) in
+        for (at, summary) in
             self.summaries.values().filter(|(at, _)| now.since(*at) < SUMMARY_LIFETIME)
         {
-            let known = latest.entry(&digest.zone).or_insert((*at, digest));
-            if (known.0, &known.1.name) < (*at, &digest.name) {
-                *known = (*at, digest);
+            let known = latest.entry(&summary.zone).or_insert((*at, summary));
+            if (known.0, &known.1.name) < (*at, &summary.name) {
+                *known = (*at, summary);
             }
         }
-        latest.into_values().map(|(_, digest)| digest)
+        latest.into_values().map(|(_, summary)| summary)
     }
 
     /// Records that a zone granted no reservation although its summary showed capacity.
@@ -198,22 +198,23 @@
         tried: &[String],
         draw: f64,
     ) -> Option<&ZoneSummary> {
-        let weigh = |digest: &ZoneSummary| {
-            let room = digest.rooms.iter().find(|r| r.service == service)?;
-            let fits = room.free > OVERFLOW_FREE_MIN && u128::from(room.read) <= within.as_millis();
-            (fits && room.places > 0).then(|| f64::from(room.places))
+        let weight = |summary: &ZoneSummary| {
+            let capacity = summary.rooms.iter().find(|c| c.service == service)?;
+            let fits = capacity.free > OVERFLOW_FREE_MIN
+                && u128::from(capacity.read) <= within.as_millis();
+            (fits && capacity.places > 0).then(|| f64::from(capacity.places))
         };
         let mut fit: Vec<(f64, &ZoneSummary)> = self
             .live(now)
             .filter(|d| !tried.contains(&d.zone))
             .filter(|d| self.backoffs.get(&d.zone).is_none_or(|until| *until <= now))
-            .filter_map(|d| Some((weigh(d)?, d)))
+            .filter_map(|d| Some((weight(d)?, d)))
             .collect();
         fit.sort_by(|a, b| a.1.name.cmp(&b.1.name));
         let mut left = draw * fit.iter().map(|(weight, _)| weight).sum::<f64>();
         let mut last = None;
-        for (weight, digest) in fit {
-            last = Some(digest);
+        for (weight, summary) in fit {
+            last = Some(summary);
             left -= weight;
             if left <= 0.0 {
                 break;
