--- a/crates/check/src/answers/simulation.rs
+++ b/crates/check/src/answers/simulation.rs
@@ -694,7 +694,7 @@
         }
         if !self.starts_empty() {
             for digest in self.stored_confirmed.iter() {
-                let update = QuarantineUpdate { content: *digest, age: 0, fact: Fact::Proved };
+                let update = QuarantineUpdate { digest: *digest, age: 0, fact: Fact::Proved };
                 self.gateways[n].quarantine.apply(now, &update);
             }
             for (digest, crashes) in &self.suspects {
@@ -703,7 +703,7 @@
                     let fact = Fact::Ended(crash.server.clone(), crash.early);
                     self.gateways[n]
                         .quarantine
-                        .apply(now, &QuarantineUpdate { content: *digest, age, fact });
+                        .apply(now, &QuarantineUpdate { digest: *digest, age, fact });
                 }
             }
         }
@@ -724,21 +724,24 @@
                     .schedule(ms(self.rng.random_range(10..60)), Event::StoreConfirmed(digest));
             }
             let known = &self.gateways[from].quarantine;
-            if known.is_nearly_confirmed(&update.content) && !self.starts_empty() {
+            if known.is_nearly_confirmed(&update.digest) && !self.starts_empty() {
                 let event =
-                    Event::StoreSuspect(update.content, known.crashes(&update.content).to_vec());
+                    Event::StoreSuspect(update.digest, known.crashes(&update.digest).to_vec());
                 self.queue.schedule(ms(self.rng.random_range(10..60)), event);
             }
         }
         if !updates.is_empty() && self.gateways[from].is_reachable(now) {
-            self.publish(from, GossipState { words: updates, ..GossipState::default() });
+            self.publish(
+                from,
+                GossipState { quarantine_updates: updates, ..GossipState::default() },
+            );
         }
     }
 
     fn newly_confirmed(&self, gateway: usize, update: &QuarantineUpdate) -> Option<RequestDigest> {
-        let confirmed = self.gateways[gateway].is_confirmed(self.queue.now(), &update.content);
+        let confirmed = self.gateways[gateway].is_confirmed(self.queue.now(), &update.digest);
         let may_confirm = matches!(update.fact, Fact::Ended(..) | Fact::Proved);
-        (confirmed && may_confirm && !self.starts_empty()).then_some(update.content)
+        (confirmed && may_confirm && !self.starts_empty()).then_some(update.digest)
     }
 
     fn publish_leaving(&mut self, from: usize, id: &ServerId) {
@@ -769,7 +772,7 @@
         if gateway.incarnation != incarnation || !gateway.is_reachable(now) {
             return;
         }
-        for update in &notes.words {
+        for update in &notes.quarantine_updates {
             gateway.quarantine.apply(now, update);
         }
         for id in &notes.leaving {
--- a/crates/daemon/src/gateway/gossip.rs
+++ b/crates/daemon/src/gateway/gossip.rs
@@ -62,8 +62,9 @@
 
 /// Splits gossip state into parts that fit one datagram each.
 fn split(state: GossipState) -> Vec<GossipState> {
-    let words = state.words.chunks(RECORDS_MAX);
-    let words = words.map(|words| GossipState { words: words.to_vec(), ..GossipState::default() });
+    let words = state.quarantine_updates.chunks(RECORDS_MAX);
+    let words = words
+        .map(|words| GossipState { quarantine_updates: words.to_vec(), ..GossipState::default() });
     let leaving = state.leaving.chunks(RECORDS_MAX);
     let leaving =
         leaving.map(|leaving| GossipState { leaving: leaving.to_vec(), ..GossipState::default() });
@@ -80,7 +81,10 @@
 
 /// Applies gossip state received from a peer.
 pub fn apply(shared: &Shared, state: &GossipState, peer: &str) {
-    state.words.iter().for_each(|word| quarantine::apply_report(shared, word, Some(peer)));
+    state
+        .quarantine_updates
+        .iter()
+        .for_each(|word| quarantine::apply_report(shared, word, Some(peer)));
     state.leaving.iter().for_each(|id| announcements::on_leaving(shared, id, peer));
     state.limits.iter().for_each(|word| limits::on_report(shared, word, peer));
 }
@@ -105,7 +109,7 @@
     let words = shared.quarantine.borrow().updates(shared.now());
     let limits = shared.limits.borrow().updates();
     GossipState {
-        words,
+        quarantine_updates: words,
         leaving: shared.registry.borrow().announced_leaving().cloned().collect(),
         limits,
     }
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -59,7 +59,8 @@
         let now = shared.now();
         if now.since(summaries_sent_at) >= DIGEST_PAUSE && shared.role.borrow().follows() {
             summaries_sent_at = now;
-            report.digests = shared.zone_summaries.borrow().passed_on(now).cloned().collect();
+            report.zone_summaries =
+                shared.zone_summaries.borrow().passed_on(now).cloned().collect();
         }
         let idle = report.work.is_empty() && report.waiting == 0 && report.changing.is_empty();
         if idle && !seq.is_multiple_of(IDLE_ROUNDS) {
@@ -160,8 +161,8 @@
         config,
         roster,
         fleet,
-        notes: gossip::checksum(shared),
-        rooms: capacities(shared),
+        gossip_checksum: gossip::checksum(shared),
+        capacities: capacities(shared),
     }
 }
 
@@ -186,10 +187,10 @@
         link: store_link(shared),
         waiting: engines.waiting() as u32,
         changing: shared.changing_engines.borrow().clone(),
-        work: engines.work(),
-        notes: gossip::checksum(shared),
+        work: engines.engine_loads(),
+        gossip_checksum: gossip::checksum(shared),
         missing: quota::unreachable_gateways(shared),
-        digests: Vec::new(),
+        zone_summaries: Vec::new(),
     }
 }
 
@@ -224,7 +225,7 @@
             Ok(GossipMessage::Share(report)) => on_load_report(&shared, from, report),
             Ok(GossipMessage::Digest(summary)) => {
                 let ZoneSummary { config, roster, fleet, .. } = summary;
-                gossip::compare_checksum(&shared, &summary.name, from, summary.notes);
+                gossip::compare_checksum(&shared, &summary.name, from, summary.gossip_checksum);
                 shared.zone_summaries.borrow_mut().on_summary(shared.now(), summary);
                 state_sync::fetch_newer(&shared, from, Versions { config, roster, fleet });
             }
@@ -245,10 +246,10 @@
 
 fn on_load_report(shared: &Rc<Shared>, from: SocketAddr, report: LoadReport) {
     let LoadReport { config, roster, fleet, .. } = report;
-    gossip::compare_checksum(shared, &report.name, from, report.notes);
+    gossip::compare_checksum(shared, &report.name, from, report.gossip_checksum);
     shared.back_off(&report.changing);
     let mut report = report;
-    for summary in report.digests.drain(..).filter(|d| d.zone != shared.node().zone) {
+    for summary in report.zone_summaries.drain(..).filter(|d| d.zone != shared.node().zone) {
         shared.zone_summaries.borrow_mut().on_summary(shared.now(), summary);
     }
     shared.load_reports.borrow_mut().on_report(shared.now(), report);
--- a/crates/daemon/src/gateway/quarantine.rs
+++ b/crates/daemon/src/gateway/quarantine.rs
@@ -259,7 +259,7 @@
             "backend server crashed under a request"
         );
         let fact = Fact::Ended(id.clone(), attempt.early);
-        publish(shared, QuarantineUpdate { content: attempt.digest, age, fact });
+        publish(shared, QuarantineUpdate { digest: attempt.digest, age, fact });
         if attempt.early {
             publish_fact(shared, attempt.digest, Fact::Over(attempt.number));
         }
@@ -267,20 +267,20 @@
 }
 
 fn publish_fact(shared: &Shared, digest: RequestDigest, fact: Fact) {
-    publish(shared, QuarantineUpdate { content: digest, age: 0, fact });
+    publish(shared, QuarantineUpdate { digest: digest, age: 0, fact });
 }
 
 /// Applies an observation made here and publishes it to all gateways.
 fn publish(shared: &Shared, report: QuarantineUpdate) {
     apply_report(shared, &report, None);
-    shared.outgoing_gossip.borrow_mut().words.push(report);
+    shared.outgoing_gossip.borrow_mut().quarantine_updates.push(report);
     shared.background_waiters.wake_all();
 }
 
 /// Applies an observation made here, or reported by a peer or the store.
 pub fn apply_report(shared: &Shared, report: &QuarantineUpdate, peer: Option<&str>) {
     let change = shared.quarantine.borrow_mut().apply(shared.now(), report);
-    let (digest, fact, age) = (report.content, &report.fact, report.age);
+    let (digest, fact, age) = (report.digest, &report.fact, report.age);
     match change {
         Change::Nothing => {}
         Change::Suspected => {
@@ -455,7 +455,7 @@
         if fact == Fact::Proved && is_confirmed(&self.0, &digest) {
             return;
         }
-        apply_report(&self.0, &QuarantineUpdate { content: digest, age: 0, fact }, Some("store"));
+        apply_report(&self.0, &QuarantineUpdate { digest: digest, age: 0, fact }, Some("store"));
     }
 }
 
@@ -466,8 +466,7 @@
         };
         for (server, early, at) in record.endings {
             let age = self.0.now().since(at).as_millis() as u64;
-            let report =
-                QuarantineUpdate { content: digest, age, fact: Fact::Ended(server, early) };
+            let report = QuarantineUpdate { digest: digest, age, fact: Fact::Ended(server, early) };
             apply_report(&self.0, &report, Some("store"));
         }
     }
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -404,7 +404,7 @@
 
     /// Returns this gateway's load at all engines where it has any, by short hash of the engine's
     /// id.
-    pub fn work(&self) -> BTreeMap<u32, EngineLoad> {
+    pub fn engine_loads(&self) -> BTreeMap<u32, EngineLoad> {
         self.records
             .iter()
             .filter(|(_, r)| r.load != EngineLoad::default())
--- a/crates/router/src/load_report.rs
+++ b/crates/router/src/load_report.rs
@@ -142,13 +142,13 @@
     pub work: BTreeMap<u32, EngineLoad>,
     /// Checksum of the sender's gossip state.
     #[serde(rename = "t", default, skip_serializing_if = "is_zero")]
-    pub notes: u64,
+    pub gossip_checksum: u64,
     /// Hashes of the gateways that the sender can't reach.
     #[serde(rename = "m", default, skip_serializing_if = "BTreeSet::is_empty")]
     pub missing: UnreachableGateways,
     /// Summaries of other availability zones that a zone leader relays.
     #[serde(rename = "d", default, skip_serializing_if = "Vec::is_empty")]
-    pub digests: Vec<ZoneSummary>,
+    pub zone_summaries: Vec<ZoneSummary>,
 }
 
 /// Gossip state: what gateways know besides the store and exchange with each other.
@@ -156,7 +156,7 @@
 pub struct GossipState {
     /// Observations of requests that crash backend servers.
     #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
-    pub words: Vec<QuarantineUpdate>,
+    pub quarantine_updates: Vec<QuarantineUpdate>,
     /// Incarnations of backend servers that announced that they are leaving.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
     pub leaving: Vec<ServerId>,
@@ -168,7 +168,7 @@
 impl GossipState {
     /// Is the gossip state empty?
     pub fn is_empty(&self) -> bool {
-        self.words.is_empty() && self.leaving.is_empty() && self.limits.is_empty()
+        self.quarantine_updates.is_empty() && self.leaving.is_empty() && self.limits.is_empty()
     }
 }
 
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -66,7 +66,7 @@
 pub struct QuarantineUpdate {
     /// Digest of the request.
     #[serde(rename = "c")]
-    pub content: RequestDigest,
+    pub digest: RequestDigest,
     /// Age of the fact in milliseconds.
     #[serde(rename = "a")]
     pub age: u64,
@@ -231,7 +231,7 @@
 
     /// Applies an update of this gateway or of a peer.
     pub fn apply(&mut self, now: Timestamp, update: &QuarantineUpdate) -> Change {
-        let (digest, at) = (update.content, now.before(Duration::from_millis(update.age)));
+        let (digest, at) = (update.digest, now.before(Duration::from_millis(update.age)));
         match &update.fact {
             Fact::Lost(number) => self.hold(now, digest, *number, at.after(INVESTIGATION_HOLD)),
             Fact::Trying(number) => self.hold(now, digest, *number, at.after(PROBE_TIMEOUT)),
@@ -328,7 +328,7 @@
         for (digest, row) in &self.rows {
             let mut add = |at: Timestamp, fact| {
                 let age = now.since(at).as_millis() as u64;
-                updates.push(QuarantineUpdate { content: *digest, age, fact });
+                updates.push(QuarantineUpdate { digest: *digest, age, fact });
             };
             // Facts that void others come first.
             if row.released_at > Timestamp::default() {
--- a/crates/router/src/zones.rs
+++ b/crates/router/src/zones.rs
@@ -127,10 +127,10 @@
     pub fleet: u64,
     /// Checksum of the sender's gossip state.
     #[serde(rename = "t", default, skip_serializing_if = "is_zero")]
-    pub notes: u64,
+    pub gossip_checksum: u64,
     /// Free capacity of its zone, by service.
     #[serde(rename = "e")]
-    pub rooms: Vec<ServiceCapacity>,
+    pub capacities: Vec<ServiceCapacity>,
 }
 
 /// The latest summaries of other zones.
@@ -199,7 +199,7 @@
         draw: f64,
     ) -> Option<&ZoneSummary> {
         let weight = |summary: &ZoneSummary| {
-            let capacity = summary.rooms.iter().find(|c| c.service == service)?;
+            let capacity = summary.capacities.iter().find(|c| c.service == service)?;
             let fits = capacity.free > OVERFLOW_FREE_MIN
                 && u128::from(capacity.read) <= within.as_millis();
             (fits && capacity.places > 0).then(|| f64::from(capacity.places))
--- a/crates/router/tests/engines.rs
+++ b/crates/router/tests/engines.rs
@@ -211,7 +211,7 @@
     assert_eq!(engines.own_load(&id(0)).memory.peak(), 4_700);
     engines.on_prefill_ended(&id(1), 3_000);
     engines.on_released(NOW, &id(0), MemoryForecast::constant(4_700), true);
-    assert!(engines.work().is_empty());
+    assert!(engines.engine_loads().is_empty());
 }
 
 /// The name is reused by a new incarnation, an engine without any load.
@@ -227,7 +227,7 @@
     // Once the answers of the old incarnation have ended, its state is dropped.
     engines.on_released(NOW, &id(0), MemoryForecast::constant(18_000), false);
     engines.retain(|alive| *alive == next);
-    assert!(engines.work().is_empty());
+    assert!(engines.engine_loads().is_empty());
     assert!(!engines.faulty(NOW, &id(0)));
 }
 
--- a/crates/router/tests/quarantine.rs
+++ b/crates/router/tests/quarantine.rs
@@ -15,7 +15,7 @@
 const BAD: RequestDigest = RequestDigest(7, 7);
 
 fn update(content: RequestDigest, fact: Fact) -> QuarantineUpdate {
-    QuarantineUpdate { content, age: 0, fact }
+    QuarantineUpdate { digest: content, age: 0, fact }
 }
 
 fn crash(server: &str, early: bool) -> Fact {
@@ -101,7 +101,7 @@
     apply(&mut all, &[crash("a", true), crash("b", true)]);
     let later = NOW.after(Duration::from_secs(1));
     assert_eq!(all.apply(later, &update(BAD, Fact::Served)), Change::Cleared);
-    let late = QuarantineUpdate { content: BAD, age: 2_000, fact: crash("c", true) };
+    let late = QuarantineUpdate { digest: BAD, age: 2_000, fact: crash("c", true) };
     assert_eq!(all.apply(later, &late), Change::Nothing);
     assert_eq!(all.state(later, &BAD), QuarantineState::Free);
     // Later crashes count again.
@@ -137,7 +137,7 @@
     let later = NOW.after(Duration::from_secs(1));
     assert_eq!(all.apply(later, &update(BAD, Fact::Released)), Change::Cleared);
     // The store may still hold the old confirmation.
-    let old = QuarantineUpdate { content: BAD, age: 1_000, fact: Fact::Proved };
+    let old = QuarantineUpdate { digest: BAD, age: 1_000, fact: Fact::Proved };
     assert_eq!(all.apply(later, &old), Change::Nothing);
     assert_eq!(all.state(later, &BAD), QuarantineState::Free);
 }
@@ -150,7 +150,7 @@
     assert!(!all.is_known(&BAD));
     assert_eq!(all.checksum(), 0);
     let old = QuarantineUpdate {
-        content: BAD,
+        digest: BAD,
         age: SUSPECT_TTL.as_millis() as u64,
         fact: crash("a", true),
     };
@@ -203,7 +203,7 @@
         let apply_all = |facts: &[(u64, u64, Fact)]| {
             let mut all = Quarantine::default();
             for (content, age, fact) in facts {
-                let update = QuarantineUpdate { content: RequestDigest(*content, 0), age: *age, fact: fact.clone() };
+                let update = QuarantineUpdate { digest: RequestDigest(*content, 0), age: *age, fact: fact.clone() };
                 all.apply(NOW, &update);
             }
             all
--- a/crates/router/tests/zones.rs
+++ b/crates/router/tests/zones.rs
@@ -24,8 +24,8 @@
         config: 1,
         roster: 1,
         fleet: 1,
-        notes: 0,
-        rooms: vec![ServiceCapacity { service: "llm".into(), free, places: free / 100, read }],
+        gossip_checksum: 0,
+        capacities: vec![ServiceCapacity { service: "llm".into(), free, places: free / 100, read }],
     }
 }
 
@@ -105,7 +105,7 @@
     digests.on_summary(NOW, digest("late", 1, 500, 501));
     assert_eq!(overflow_zone(&digests, NOW, &[], 0.5), None);
     let mut pieces = digest("pieces", 1, 500, 0);
-    pieces.rooms[0].places = 0;
+    pieces.capacities[0].places = 0;
     digests.on_summary(NOW, pieces);
     assert_eq!(overflow_zone(&digests, NOW, &[], 0.5), None);
     digests.on_summary(NOW, digest("good", 1, 500, 499));
@@ -165,7 +165,11 @@
         })
         .collect();
     let mut bytes = Vec::new();
-    let share = LoadReport { name: "front-zone-8-1".into(), digests, ..LoadReport::default() };
+    let share = LoadReport {
+        name: "front-zone-8-1".into(),
+        zone_summaries: digests,
+        ..LoadReport::default()
+    };
     ciborium::into_writer(&GossipMessage::Share(share), &mut bytes)
         .expect("a load report is encoded");
     assert!(bytes.len() < 2_500, "{}", bytes.len());
