--- a/crates/daemon/src/gateway/orders.rs
+++ b/crates/daemon/src/gateway/orders.rs
@@ -166,7 +166,7 @@
         };
         let (shape, rate) = {
             let learned = shared.service_estimates(&service.name);
-            (learned.shape, learned.reading.rate())
+            (learned.shape, learned.prefill_speed.rate())
         };
         let context = PlanContext {
             service: &service.name,
@@ -176,7 +176,7 @@
             rate,
         };
         if let Some((to, stage)) = planner.next(shared.now(), &context) {
-            planner.given(shared.now(), &to, stage, spec);
+            planner.on_ordered(shared.now(), &to, stage, spec);
             shared.changing_engines.replace(planner.changing());
             let server = registry.get(&to)?.clone();
             let holder = shared.node().name.clone();
@@ -209,7 +209,7 @@
 async fn send(shared: &Shared, order: Order, server: Server, planner: &mut Planner) {
     let req = engine::change_stage(&order);
     if !limits::acquire(shared, &server.id, 1).await {
-        planner.refused(&order.to);
+        planner.on_refused(&order.to);
         return;
     }
     let reply = announcements::call(shared, &server, req, ORDER_TIMEOUT).await;
@@ -221,7 +221,7 @@
                 server = %to, ?stage, fence = order.fence, word = ?result, "order answered"
             );
             if matches!(result, OrderReply::Busy | OrderReply::Failed(_) | OrderReply::Moved) {
-                planner.refused(to);
+                planner.on_refused(to);
             }
         }
         // The engine may still carry the order out; the server registry will show it.
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -15,7 +15,7 @@
 use ebonyloft_router::fetches::Versions;
 use ebonyloft_router::load_report::{self, GossipMessage, LoadReport};
 use ebonyloft_router::zone_leader::StoreLink;
-use ebonyloft_router::zones::{DIGEST_PAUSE, Scope, ServiceCapacity, ZoneSummary};
+use ebonyloft_router::zones::{SUMMARY_INTERVAL, Scope, ServiceCapacity, ZoneSummary};
 use futures_util::StreamExt;
 use futures_util::future::select;
 use hyper::body::Incoming;
@@ -48,7 +48,7 @@
     let mut summaries_sent_at = Timestamp::default();
     loop {
         let recipients = report_recipients(&shared);
-        let pause = load_report::pause(recipients.len());
+        let pause = load_report::report_interval(recipients.len());
         compio::time::sleep(pause.mul_f64(MIN_PAUSE_FACTOR)).await;
         let idle_pause = std::pin::pin!(compio::time::sleep(pause.mul_f64(IDLE_PAUSE_FACTOR)));
         select(shared.report_requested(), idle_pause).await;
@@ -57,10 +57,9 @@
         let mut report = own_report(&shared, incarnation, seq);
         // Load reports are sent several times as often as zone summaries are passed on.
         let now = shared.now();
-        if now.since(summaries_sent_at) >= DIGEST_PAUSE && shared.role.borrow().follows() {
+        if now.since(summaries_sent_at) >= SUMMARY_INTERVAL && shared.role.borrow().follows() {
             summaries_sent_at = now;
-            report.zone_summaries =
-                shared.zone_summaries.borrow().passed_on(now).cloned().collect();
+            report.zone_summaries = shared.zone_summaries.borrow().relayed(now).cloned().collect();
         }
         let idle = report.work.is_empty() && report.waiting == 0 && report.changing.is_empty();
         if idle && !seq.is_multiple_of(IDLE_ROUNDS) {
@@ -122,7 +121,7 @@
     let incarnation = shared.now().0;
     let mut seq = 0;
     loop {
-        compio::time::sleep(DIGEST_PAUSE).await;
+        compio::time::sleep(SUMMARY_INTERVAL).await;
         if shared.scope() == Scope::All || !shared.role.borrow().follows() {
             continue;
         }
@@ -143,7 +142,7 @@
 fn leaders_of_other_zones(shared: &Shared) -> Vec<SocketAddr> {
     let (node, fleet, summaries) =
         (shared.node(), shared.fleet.borrow(), shared.zone_summaries.borrow());
-    let senders = summaries.passed_on(shared.now()).map(|d| d.addr);
+    let senders = summaries.relayed(shared.now()).map(|d| d.addr);
     let ranked = fleet.zone_leaders().filter(|g| g.zone != node.zone).map(|g| g.addr);
     let all: BTreeSet<SocketAddr> = senders.chain(ranked).collect();
     all.into_iter().collect()
@@ -156,7 +155,7 @@
         name: node.name.clone(),
         zone: node.zone.clone(),
         addr: (node.ip, node.peer_port).into(),
-        life: incarnation,
+        incarnation,
         seq,
         config,
         roster,
@@ -179,7 +178,7 @@
     let Versions { config, roster, fleet } = state_sync::versions(shared);
     LoadReport {
         name: shared.node().name.clone(),
-        life: incarnation,
+        incarnation,
         seq,
         config,
         roster,
@@ -189,7 +188,7 @@
         changing: shared.changing_engines.borrow().clone(),
         work: engines.engine_loads(),
         gossip_checksum: gossip::checksum(shared),
-        missing: quota::unreachable_gateways(shared),
+        unreachable: quota::unreachable_gateways(shared),
         zone_summaries: Vec::new(),
     }
 }
--- a/crates/daemon/src/gateway/quota.rs
+++ b/crates/daemon/src/gateway/quota.rs
@@ -359,6 +359,6 @@
         if name == self.name {
             return Some(self.own);
         }
-        self.load_reports.missed_by(self.now, name)
+        self.load_reports.unreachable_from(self.now, name)
     }
 }
--- a/crates/daemon/src/gateway/stream/admission.rs
+++ b/crates/daemon/src/gateway/stream/admission.rs
@@ -116,12 +116,12 @@
     let first_by = if resumed { now.after(RESUME_WITHIN) } else { intake.goal_at };
     let prompt = intake.caller.prompt_tokens;
     let mut learned = shared.service_estimates(&intake.service);
-    learned.usual.observe(&length_forecast, prompt);
+    learned.typical_request.observe(&length_forecast, prompt);
     if !resumed {
         learned.shape.observe(prompt as f64, length_forecast.length());
     }
     let memory = length_forecast.memory_forecast(prompt, state.generated);
-    let value = learned.usual.value(&length_forecast, prompt);
+    let value = learned.typical_request.value(&length_forecast, prompt);
     Demand { memory, first_by, ends_at: intake.ends_at, value, begun: resumed }
 }
 
@@ -140,8 +140,8 @@
         decode_engines(shared, &registry, &intake.service).filter(|s| !tried.contains(&s.id));
     let load_reports = shared.load_reports.borrow();
     let ticket = state.ticket.expect("a queued request has a ticket");
-    let work = |id: &ServerId| load_reports.work(now, id);
-    let context = AdmissionContext { engine: spec, read_at, entries };
+    let work = |id: &ServerId| load_reports.engine_loads(now, id);
+    let context = AdmissionContext { engine: spec, read_at, gateways: entries };
     shared
         .engines
         .borrow()
@@ -159,9 +159,9 @@
 ) -> bool {
     let read_at = prefill::predicted_ready_at(shared, intake, state, now);
     let (registry, load_reports) = (shared.registry.borrow(), shared.load_reports.borrow());
-    let context = AdmissionContext { engine: spec, read_at, entries: shared.gateways_in_scope() };
+    let context = AdmissionContext { engine: spec, read_at, gateways: shared.gateways_in_scope() };
     let servers = decode_engines(shared, &registry, &intake.service);
-    let work = |id: &ServerId| load_reports.work(now, id);
+    let work = |id: &ServerId| load_reports.engine_loads(now, id);
     shared.engines.borrow().is_short(now, demand, &context, servers, work)
 }
 
@@ -188,7 +188,7 @@
     let load_reports = shared.load_reports.borrow();
     let servers: Vec<&Server> = decode_engines(shared, &registry, service).collect();
     let engines = shared.engines.borrow();
-    engines.free_fraction(now, &servers, spec, |id| load_reports.work(now, id))
+    engines.free_fraction(now, &servers, spec, |id| load_reports.engine_loads(now, id))
 }
 
 /// Number of typical requests that fit into the engines that this gateway uses.
@@ -198,7 +198,7 @@
     let load_reports = shared.load_reports.borrow();
     let servers: Vec<&Server> = decode_engines(shared, &registry, service).collect();
     let engines = shared.engines.borrow();
-    engines.free_capacity(now, &servers, spec, usual, |id| load_reports.work(now, id))
+    engines.free_capacity(now, &servers, spec, usual, |id| load_reports.engine_loads(now, id))
 }
 
 fn leave_queue(shared: &Shared, state: &mut StreamState) {
--- a/crates/daemon/src/gateway/stream/incoming.rs
+++ b/crates/daemon/src/gateway/stream/incoming.rs
@@ -98,7 +98,7 @@
         Some((_, at)) => *at,
         None => prefill::local_ready_at(&shared, &request.service, request.prompt, now),
     };
-    let context = AdmissionContext { engine: &spec, read_at, entries: shared.gateways_in_scope() };
+    let context = AdmissionContext { engine: &spec, read_at, gateways: shared.gateways_in_scope() };
     let Some(server) = choose_engine(&shared, &request.service, &demand, &context) else {
         return log_result(&shared, &request, &context, None);
     };
@@ -156,7 +156,7 @@
     let (now, registry, load_reports) =
         (shared.now(), shared.registry.borrow(), shared.load_reports.borrow());
     let servers = admission::decode_engines(shared, &registry, service);
-    let work = |id: &ServerId| load_reports.work(now, id);
+    let work = |id: &ServerId| load_reports.engine_loads(now, id);
     let engines = shared.engines.borrow();
     let id = engines.grant(now, demand, context, servers, work, || shared.random_fraction())?;
     registry.get(&id).cloned()
--- a/crates/daemon/src/gateway/stream/prefill.rs
+++ b/crates/daemon/src/gateway/stream/prefill.rs
@@ -62,7 +62,8 @@
 
 /// When a decode engine would have read a prompt.
 pub fn local_ready_at(shared: &Shared, service: &str, prompt: u64, now: Timestamp) -> Timestamp {
-    let duration = shared.service_estimates(service).reading.time(EngineLoad::default(), prompt);
+    let duration =
+        shared.service_estimates(service).prefill_speed.time(EngineLoad::default(), prompt);
     now.after(duration * LOCAL_SLOWDOWN)
 }
 
@@ -116,14 +117,14 @@
         .filter(|s| !announcements::is_unavailable(shared, &s.id));
     let (load_reports, speed_factors) =
         (shared.load_reports.borrow(), shared.speed_factors.borrow());
-    let work = |id: &_| engines.own_load(id).plus(load_reports.work(now, id));
+    let work = |id: &_| engines.own_load(id).plus(load_reports.engine_loads(now, id));
     let learned = shared.service_estimates(service);
     let choice = ChoiceContext {
         speed_factors: &speed_factors,
-        reading: &learned.reading,
+        prefill_speed: &learned.prefill_speed,
         prompt,
         zone,
-        entries,
+        gateways: entries,
     };
     let picked = prefill::pick(now, prefill_engines, work, &choice, || shared.random_fraction());
     picked.map(|(s, at)| (s.clone(), at))
@@ -146,7 +147,7 @@
     let now = shared.now();
     let prompt = intake.caller.prompt_tokens;
     let work = shared.engine_load(&server.id);
-    let base_time = shared.service_estimates(&intake.service).reading.time(work, prompt);
+    let base_time = shared.service_estimates(&intake.service).prefill_speed.time(work, prompt);
     shared.engines.borrow_mut().on_prefill_sent(&server.id, prompt);
     shared.request_report();
     state.prefilling = Some((server.id.clone(), prompt));
@@ -164,7 +165,7 @@
     engines.on_prefill_ended(&server.id, prompt);
     let ms = done.since(now).as_millis() as u64;
     let predicted_ms = ready_at.since(now).as_millis() as u64;
-    let rate = shared.service_estimates(&intake.service).reading.rate() as u64;
+    let rate = shared.service_estimates(&intake.service).prefill_speed.rate() as u64;
     tracing::info!(
         id = intake.id(), server = %server.id, fate = ?outcome, prompt, queue = work.unread, ms, foretold = predicted_ms,
         rate, config, roster, age, "prefill ended"
@@ -176,7 +177,7 @@
         // of speed.
         if !remote {
             shared.speed_factors.borrow_mut().observe(&server.id, done.since(now), base_time);
-            shared.service_estimates(&intake.service).reading.observe(
+            shared.service_estimates(&intake.service).prefill_speed.observe(
                 work,
                 prompt,
                 done.since(now),
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -138,7 +138,7 @@
     /// When prefill would end if the request were admitted now.
     pub read_at: Timestamp,
     /// Live gateways.
-    pub entries: usize,
+    pub gateways: usize,
 }
 
 /// What to do with a request.
@@ -499,7 +499,7 @@
         let mut candidates: Vec<(f64, i64, &Server)> =
             servers.filter_map(|s| Some((draw(), room(s)?, *s))).collect();
         candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let sample_len = sample_size(candidates.len(), context.entries).min(candidates.len());
+        let sample_len = sample_size(candidates.len(), context.gateways).min(candidates.len());
         candidates[..sample_len]
             .iter()
             .max_by_key(|(_, free, _)| *free)
--- a/crates/router/src/learned.rs
+++ b/crates/router/src/learned.rs
@@ -11,11 +11,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct ServiceStats {
     /// Prefill speed of its engines.
-    pub reading: PrefillSpeed,
+    pub prefill_speed: PrefillSpeed,
     /// Average shape of its requests, from which engines are divided between the stages.
     pub shape: Shape,
     /// Average request, the reference for the value of others.
-    pub usual: TypicalRequest,
+    pub typical_request: TypicalRequest,
 }
 
 /// Statistics of all services and routes.
--- a/crates/router/src/load_report.rs
+++ b/crates/router/src/load_report.rs
@@ -41,7 +41,7 @@
 const LOAD_ROUNDS: u32 = 4;
 
 /// Returns the interval between two rounds with so many peers.
-pub fn pause(peers: usize) -> Duration {
+pub fn report_interval(peers: usize) -> Duration {
     let more = peers.saturating_sub(INTERVAL_PEERS);
     REPORT_INTERVAL + REPORT_INTERVAL.mul_f64(more as f64 / INTERVAL_PEERS_STEP as f64)
 }
@@ -115,7 +115,7 @@
     pub name: String,
     /// Start time of the sender's process in microseconds; a later incarnation has a larger one.
     #[serde(rename = "l")]
-    pub life: u64,
+    pub incarnation: u64,
     /// Sequence number within this incarnation.
     #[serde(rename = "s")]
     pub seq: u64,
@@ -145,7 +145,7 @@
     pub gossip_checksum: u64,
     /// Hashes of the gateways that the sender can't reach.
     #[serde(rename = "m", default, skip_serializing_if = "BTreeSet::is_empty")]
-    pub missing: UnreachableGateways,
+    pub unreachable: UnreachableGateways,
     /// Summaries of other availability zones that a zone leader relays.
     #[serde(rename = "d", default, skip_serializing_if = "Vec::is_empty")]
     pub zone_summaries: Vec<ZoneSummary>,
@@ -215,7 +215,7 @@
     /// Stores a load report; false when it is older than the one known.
     pub fn on_report(&mut self, now: Timestamp, report: LoadReport) -> bool {
         if let Some(peer) = self.peers.get(&report.name)
-            && (peer.report.life, peer.report.seq) >= (report.life, report.seq)
+            && (peer.report.incarnation, peer.report.seq) >= (report.incarnation, report.seq)
         {
             return false;
         }
@@ -224,8 +224,8 @@
     }
 
     /// Returns the load of all peers at one engine.
-    pub fn work(&self, now: Timestamp, id: &ServerId) -> EngineLoad {
-        let timeout = LOAD_TIMEOUT.max(pause(self.peers.len()) * LOAD_ROUNDS);
+    pub fn engine_loads(&self, now: Timestamp, id: &ServerId) -> EngineLoad {
+        let timeout = LOAD_TIMEOUT.max(report_interval(self.peers.len()) * LOAD_ROUNDS);
         let number = id.short_hash();
         self.peers
             .values()
@@ -236,7 +236,7 @@
 
     /// Returns the number of live peers.
     pub fn live(&self, now: Timestamp) -> usize {
-        let timeout = PEER_TIMEOUT.max(pause(self.peers.len()) * 2 * LOAD_ROUNDS);
+        let timeout = PEER_TIMEOUT.max(report_interval(self.peers.len()) * 2 * LOAD_ROUNDS);
         self.peers.values().filter(|p| now.since(p.received_at) < timeout).count()
     }
 
@@ -256,8 +256,8 @@
     }
 
     /// Returns the gateways that another gateway reports as unreachable; `None` when it is silent.
-    pub fn missed_by(&self, now: Timestamp, name: &str) -> Option<&UnreachableGateways> {
-        self.recent_report(now, name).map(|report| &report.missing)
+    pub fn unreachable_from(&self, now: Timestamp, name: &str) -> Option<&UnreachableGateways> {
+        self.recent_report(now, name).map(|report| &report.unreachable)
     }
 
     fn recent_report(&self, now: Timestamp, name: &str) -> Option<&LoadReport> {
--- a/crates/router/src/prefill.rs
+++ b/crates/router/src/prefill.rs
@@ -55,13 +55,13 @@
     /// Speed factor of each engine.
     pub speed_factors: &'a SpeedFactors,
     /// Prefill speed of the service's engines.
-    pub reading: &'a PrefillSpeed,
+    pub prefill_speed: &'a PrefillSpeed,
     /// Tokens of the prompt.
     pub prompt: u64,
     /// Availability zone of the decode engine, or of the gateway while none is chosen.
     pub zone: &'a str,
     /// Live gateways.
-    pub entries: usize,
+    pub gateways: usize,
 }
 
 /// Returns the prefill engine with the earliest predicted end, and that time; `work` is the load of
@@ -75,14 +75,15 @@
 ) -> Option<(&'a Server, Timestamp)> {
     let mut engines: Vec<(f64, &Server)> = engines.map(|s| (draw(), s)).collect();
     engines.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let sample_len = sample_size(engines.len(), choice.entries);
+    let sample_len = sample_size(engines.len(), choice.gateways);
     let predict = |(draw, s): &(f64, &'a Server)| {
         let w = work(&s.id);
         // An engine queues hardly more prompts than it has slots and rejects the rest.
         if w.reads >= s.slots.max(1) {
             return None;
         }
-        let took = choice.reading.time(w, choice.prompt).mul_f64(choice.speed_factors.of(&s.id));
+        let took =
+            choice.prefill_speed.time(w, choice.prompt).mul_f64(choice.speed_factors.of(&s.id));
         let penalty = if s.zone == choice.zone { Duration::ZERO } else { CROSS_ZONE_PENALTY };
         let extra = penalty + JITTER.mul_f64(*draw);
         Some((now.after(took), now.after(took + extra), *s))
--- a/crates/router/src/stages.rs
+++ b/crates/router/src/stages.rs
@@ -221,12 +221,12 @@
     }
 
     /// Records that an order was sent.
-    pub fn given(&mut self, now: Timestamp, id: &ServerId, stage: Stage, engine: &Engine) {
+    pub fn on_ordered(&mut self, now: Timestamp, id: &ServerId, stage: Stage, engine: &Engine) {
         self.orders.insert(id.clone(), (stage, now.after(engine.switch).after(ORDER_SETTLE)));
     }
 
     /// Records that an engine refused an order, so that it may be ordered again.
-    pub fn refused(&mut self, id: &ServerId) {
+    pub fn on_refused(&mut self, id: &ServerId) {
         self.orders.remove(id);
     }
 }
--- a/crates/router/src/zones.rs
+++ b/crates/router/src/zones.rs
@@ -30,7 +30,7 @@
 /// How long engines that are gone still count: a restart of many engines must not change the scope.
 const PEAK_WINDOW: Duration = Duration::from_secs(60);
 /// Interval between two summaries to other zones; they only serve to choose a zone to ask.
-pub const DIGEST_PAUSE: Duration = Duration::from_millis(250);
+pub const SUMMARY_INTERVAL: Duration = Duration::from_millis(250);
 /// How long a summary is valid: four more may be lost.
 pub const SUMMARY_LIFETIME: Duration = Duration::from_millis(1_300);
 /// Back-off after a zone granted no reservation, until its next two summaries show what it has.
@@ -112,7 +112,7 @@
     pub addr: SocketAddr,
     /// Start time of its process, in microseconds.
     #[serde(rename = "l")]
-    pub life: u64,
+    pub incarnation: u64,
     /// Sequence number within this incarnation.
     #[serde(rename = "q")]
     pub seq: u64,
@@ -146,7 +146,7 @@
     /// one known.
     pub fn on_summary(&mut self, now: Timestamp, summary: ZoneSummary) -> bool {
         if let Some((_, before)) = self.summaries.get(&summary.name)
-            && (before.life, before.seq) >= (summary.life, summary.seq)
+            && (before.incarnation, before.seq) >= (summary.incarnation, summary.seq)
         {
             return false;
         }
@@ -162,7 +162,7 @@
 
     /// Returns the latest summary of each zone, by zone, which a zone leader relays. The leaders of
     /// a zone report much the same, and in a fleet that starts all gateways are leaders.
-    pub fn passed_on(&self, now: Timestamp) -> impl Iterator<Item = &ZoneSummary> {
+    pub fn relayed(&self, now: Timestamp) -> impl Iterator<Item = &ZoneSummary> {
         let mut latest: BTreeMap<&str, (Timestamp, &ZoneSummary)> = BTreeMap::new();
         for (at, summary) in
             self.summaries.values().filter(|(at, _)| now.since(*at) < SUMMARY_LIFETIME)
--- a/crates/router/tests/engines.rs
+++ b/crates/router/tests/engines.rs
@@ -66,7 +66,7 @@
     servers: &[Server],
     peers: EngineLoad,
 ) -> AdmissionDecision {
-    let view = AdmissionContext { engine: &spec(), read_at, entries: 4 };
+    let view = AdmissionContext { engine: &spec(), read_at, gateways: 4 };
     engines.decide(at, ticket, &view, servers.iter(), |_| peers, || 0.5)
 }
 
@@ -259,7 +259,7 @@
 
 /// The decision for a request while memory is scarce.
 fn advise_scarce(engines: &EngineAdmission, ticket: Ticket) -> AdmissionDecision {
-    let view = AdmissionContext { engine: &spec(), read_at: after(100), entries: 4 };
+    let view = AdmissionContext { engine: &spec(), read_at: after(100), gateways: 4 };
     engines.decide(NOW, ticket, &view, servers(20).iter(), scarce, || 0.5)
 }
 
@@ -306,7 +306,7 @@
     read_ms: u64,
     servers: &[Server],
 ) -> Option<ServerId> {
-    let view = AdmissionContext { engine: &spec(), read_at: after(read_ms), entries: 4 };
+    let view = AdmissionContext { engine: &spec(), read_at: after(read_ms), gateways: 4 };
     engines.grant(NOW, need, &view, servers.iter(), |_| EngineLoad::default(), || 0.5)
 }
 
@@ -356,7 +356,7 @@
     let servers = servers(1);
     let mut engines = EngineAdmission::default();
     let short = |engines: &EngineAdmission, read_ms: u64| {
-        let view = AdmissionContext { engine: &spec(), read_at: after(read_ms), entries: 4 };
+        let view = AdmissionContext { engine: &spec(), read_at: after(read_ms), gateways: 4 };
         engines.is_short(NOW, &need(), &view, servers.iter(), |_| EngineLoad::default())
     };
     assert!(!short(&engines, 100));
--- a/crates/router/tests/load/world.rs
+++ b/crates/router/tests/load/world.rs
@@ -236,16 +236,16 @@
         let lost = self.plan.lose_engine && self.seconds() > 5.0;
         let prefill_engines = &self.servers[usize::from(lost)..self.plan.prefill_engines];
         let e = &self.entries[entry];
-        let work = |id: &ServerId| e.engines.own_load(id).plus(e.shares.work(self.now, id));
+        let work = |id: &ServerId| e.engines.own_load(id).plus(e.shares.engine_loads(self.now, id));
         let rng = &mut self.rng;
         let paces = SpeedFactors::default();
         let reading = PrefillSpeed::default();
         let choice = ChoiceContext {
             speed_factors: &paces,
-            reading: &reading,
+            prefill_speed: &reading,
             prompt,
             zone: "z",
-            entries: 4,
+            gateways: 4,
         };
         let picked =
             prefill::pick(self.now, prefill_engines.iter(), work, &choice, || rng.random());
@@ -277,9 +277,9 @@
         }
         let draw = self.rng.random();
         let e = &self.entries[entry];
-        let work = |id: &ServerId| e.shares.work(self.now, id);
+        let work = |id: &ServerId| e.shares.engine_loads(self.now, id);
         let decode_engines = self.servers[self.plan.prefill_engines..].iter();
-        let view = AdmissionContext { engine: &self.spec, read_at, entries: 4 };
+        let view = AdmissionContext { engine: &self.spec, read_at, gateways: 4 };
         let advice = e.engines.decide(self.now, ticket, &view, decode_engines, work, || draw);
         match advice {
             AdmissionDecision::Ask(id) => {
--- a/crates/router/tests/memory.rs
+++ b/crates/router/tests/memory.rs
@@ -168,7 +168,7 @@
         };
         let ticket = self.engines.join(now, need, now);
         let spec = engine(64, self.customer.memory);
-        let view = AdmissionContext { engine: &spec, read_at: now, entries: 1 };
+        let view = AdmissionContext { engine: &spec, read_at: now, gateways: 1 };
         let rng = &mut self.rng;
         let none = |_: &ServerId| EngineLoad::default();
         let advice =
--- a/crates/router/tests/prefill.rs
+++ b/crates/router/tests/prefill.rs
@@ -34,10 +34,10 @@
     let reading = PrefillSpeed::default();
     let choice = ChoiceContext {
         speed_factors: &paces,
-        reading: &reading,
+        prefill_speed: &reading,
         prompt: 3_200,
         zone: "z0",
-        entries,
+        gateways: entries,
     };
     let mut drawn = 0;
     let draw = || {
--- a/crates/router/tests/share.rs
+++ b/crates/router/tests/share.rs
@@ -7,7 +7,8 @@
 use ebonyloft_router::catalog::ServerId;
 use ebonyloft_router::forecast::MemoryForecast;
 use ebonyloft_router::load_report::{
-    EngineLoad, LOAD_TIMEOUT, LoadReport, LoadReports, REPORT_INTERVAL, pause, sample_size,
+    EngineLoad, LOAD_TIMEOUT, LoadReport, LoadReports, REPORT_INTERVAL, report_interval,
+    sample_size,
 };
 use ebonyloft_router::varint;
 use proptest::prelude::*;
@@ -22,7 +23,7 @@
     let memory = MemoryForecast::constant(tokens);
     let work = EngineLoad { memory, count: 1, ..EngineLoad::default() };
     let work = BTreeMap::from([(id().short_hash(), work)]);
-    LoadReport { name: name.into(), life, seq, work, ..LoadReport::default() }
+    LoadReport { name: name.into(), incarnation: life, seq, work, ..LoadReport::default() }
 }
 
 #[test]
@@ -31,7 +32,7 @@
     assert!(shares.on_report(NOW, share("a", 1, 1, 100)));
     assert!(shares.on_report(NOW, share("b", 1, 1, 30)));
     assert_eq!(
-        shares.work(NOW, &id()),
+        shares.engine_loads(NOW, &id()),
         EngineLoad { memory: MemoryForecast::constant(130), count: 2, ..EngineLoad::default() }
     );
     assert_eq!(shares.live(NOW), 2);
@@ -43,16 +44,16 @@
     shares.on_report(NOW, share("a", 1, 5, 100));
     assert!(!shares.on_report(NOW, share("a", 1, 4, 999)));
     assert!(!shares.on_report(NOW, share("a", 1, 5, 999)));
-    assert_eq!(shares.work(NOW, &id()).memory.now(), 100);
+    assert_eq!(shares.engine_loads(NOW, &id()).memory.now(), 100);
     assert!(shares.on_report(NOW, share("a", 2, 1, 7)), "a new incarnation starts over");
-    assert_eq!(shares.work(NOW, &id()).memory.now(), 7);
+    assert_eq!(shares.engine_loads(NOW, &id()).memory.now(), 7);
 }
 
 #[test]
 fn the_load_of_a_silent_peer_is_dropped() {
     let mut shares = LoadReports::default();
     shares.on_report(NOW, share("a", 1, 1, 100));
-    assert_eq!(shares.work(NOW.after(LOAD_TIMEOUT), &id()).memory.now(), 0);
+    assert_eq!(shares.engine_loads(NOW.after(LOAD_TIMEOUT), &id()).memory.now(), 0);
 }
 
 /// With hundreds of gateways a round takes seconds: their load must not be dropped in between.
@@ -62,18 +63,18 @@
     for n in 0..410 {
         shares.on_report(NOW, share(&format!("e{n}"), 1, 1, 10));
     }
-    let later = NOW.after(pause(410) * 2);
-    assert_eq!(shares.work(later, &id()).memory.now(), 4_100);
+    let later = NOW.after(report_interval(410) * 2);
+    assert_eq!(shares.engine_loads(later, &id()).memory.now(), 4_100);
     assert_eq!(shares.live(later), 410);
 }
 
 #[test]
 fn rounds_grow_with_the_fleet_only_beyond_a_size() {
-    assert_eq!(pause(4), REPORT_INTERVAL);
-    assert_eq!(pause(16), REPORT_INTERVAL);
-    assert_eq!(pause(32), REPORT_INTERVAL);
-    assert_eq!(pause(48), REPORT_INTERVAL * 2);
-    assert!(pause(409) > Duration::from_secs(2));
+    assert_eq!(report_interval(4), REPORT_INTERVAL);
+    assert_eq!(report_interval(16), REPORT_INTERVAL);
+    assert_eq!(report_interval(32), REPORT_INTERVAL);
+    assert_eq!(report_interval(48), REPORT_INTERVAL * 2);
+    assert!(report_interval(409) > Duration::from_secs(2));
 }
 
 #[test]
--- a/crates/router/tests/stages.rs
+++ b/crates/router/tests/stages.rs
@@ -120,7 +120,7 @@
     for round in 0..20 {
         let at = NOW.after(CHANGE_DELAY * round);
         if let Some((id, stage)) = planner.next(at, &view) {
-            planner.given(NOW.after(CHANGE_DELAY * 100), &id, stage, &engine);
+            planner.on_ordered(NOW.after(CHANGE_DELAY * 100), &id, stage, &engine);
             let zone = all.iter().find(|s| s.id == id).expect("the engine is listed").zone.clone();
             changes_made.push((zone, stage));
         }
--- a/crates/router/tests/zones.rs
+++ b/crates/router/tests/zones.rs
@@ -19,7 +19,7 @@
         name: format!("front-{zone}-1"),
         zone: zone.into(),
         addr: ([127, 0, 0, 1], 7_000).into(),
-        life: 1,
+        incarnation: 1,
         seq,
         config: 1,
         roster: 1,
@@ -42,13 +42,13 @@
         );
     }
     let now = NOW.after(SOON);
-    let relayed: Vec<ZoneSummary> = digests.passed_on(now).cloned().collect();
+    let relayed: Vec<ZoneSummary> = digests.relayed(now).cloned().collect();
     let zones: Vec<&str> = relayed.iter().map(|d| d.zone.as_str()).collect();
     assert_eq!(zones, ["b", "c", "d"]);
     assert!(relayed.iter().all(|d| d.name.ends_with(|c: char| c.is_ascii_digit()) && d.seq == 1));
     // The latest summaries.
     assert_eq!(relayed[0].name, "front-siracusa-ortigia-219");
-    assert_eq!(digests.passed_on(now.after(SUMMARY_LIFETIME)).count(), 0);
+    assert_eq!(digests.relayed(now.after(SUMMARY_LIFETIME)).count(), 0);
 }
 
 fn overflow_zone(
