--- a/crates/daemon/src/gateway/shared.rs
+++ b/crates/daemon/src/gateway/shared.rs
@@ -396,7 +396,7 @@
 
     /// Load of all gateways, this one included, at an engine.
     pub fn engine_load(&self, id: &ServerId) -> EngineLoad {
-        let peers = self.load_reports.borrow().engine_loads(self.now(), id);
+        let peers = self.load_reports.borrow().peer_load(self.now(), id);
         self.engines.borrow().own_load(id).plus(peers)
     }
 
--- a/crates/daemon/src/gateway/stream/admission.rs
+++ b/crates/daemon/src/gateway/stream/admission.rs
@@ -134,18 +134,18 @@
     now: Timestamp,
 ) -> AdmissionDecision {
     let read_at = prefill::predicted_ready_at(shared, intake, state, now);
-    let entries = shared.gateways_in_scope();
+    let gateways = shared.gateways_in_scope();
     let registry = shared.registry.borrow();
     let servers =
         decode_engines(shared, &registry, &intake.service).filter(|s| !tried.contains(&s.id));
     let load_reports = shared.load_reports.borrow();
     let ticket = state.ticket.expect("a queued request has a ticket");
-    let work = |id: &ServerId| load_reports.engine_loads(now, id);
-    let context = AdmissionContext { engine: spec, read_at, gateways: entries };
+    let peer_load = |id: &ServerId| load_reports.peer_load(now, id);
+    let context = AdmissionContext { engine: spec, read_at, gateways };
     shared
         .engines
         .borrow()
-        .decide(now, ticket, &context, servers, work, || shared.random_fraction())
+        .decide(now, ticket, &context, servers, peer_load, || shared.random_fraction())
 }
 
 /// True if this zone's engines can't serve the request now.
@@ -161,8 +161,8 @@
     let (registry, load_reports) = (shared.registry.borrow(), shared.load_reports.borrow());
     let context = AdmissionContext { engine: spec, read_at, gateways: shared.gateways_in_scope() };
     let servers = decode_engines(shared, &registry, &intake.service);
-    let work = |id: &ServerId| load_reports.engine_loads(now, id);
-    shared.engines.borrow().is_short(now, demand, &context, servers, work)
+    let peer_load = |id: &ServerId| load_reports.peer_load(now, id);
+    shared.engines.borrow().is_short(now, demand, &context, servers, peer_load)
 }
 
 /// A service's decode engines that this gateway uses, without those that asked for a back-off.
@@ -188,17 +188,18 @@
     let load_reports = shared.load_reports.borrow();
     let servers: Vec<&Server> = decode_engines(shared, &registry, service).collect();
     let engines = shared.engines.borrow();
-    engines.free_fraction(now, &servers, spec, |id| load_reports.engine_loads(now, id))
+    engines.free_fraction(now, &servers, spec, |id| load_reports.peer_load(now, id))
 }
 
 /// Number of typical requests that fit into the engines that this gateway uses.
 pub fn free_slots(shared: &Shared, service: &str, spec: &Engine) -> u32 {
-    let usual = shared.service_estimates(service).shape.memory();
+    let typical_memory = shared.service_estimates(service).shape.memory();
     let (now, registry) = (shared.now(), shared.registry.borrow());
     let load_reports = shared.load_reports.borrow();
     let servers: Vec<&Server> = decode_engines(shared, &registry, service).collect();
     let engines = shared.engines.borrow();
-    engines.free_capacity(now, &servers, spec, usual, |id| load_reports.engine_loads(now, id))
+    engines
+        .free_capacity(now, &servers, spec, typical_memory, |id| load_reports.peer_load(now, id))
 }
 
 fn leave_queue(shared: &Shared, state: &mut StreamState) {
--- a/crates/daemon/src/gateway/stream/incoming.rs
+++ b/crates/daemon/src/gateway/stream/incoming.rs
@@ -156,9 +156,10 @@
     let (now, registry, load_reports) =
         (shared.now(), shared.registry.borrow(), shared.load_reports.borrow());
     let servers = admission::decode_engines(shared, &registry, service);
-    let work = |id: &ServerId| load_reports.engine_loads(now, id);
+    let peer_load = |id: &ServerId| load_reports.peer_load(now, id);
     let engines = shared.engines.borrow();
-    let id = engines.grant(now, demand, context, servers, work, || shared.random_fraction())?;
+    let id =
+        engines.grant(now, demand, context, servers, peer_load, || shared.random_fraction())?;
     registry.get(&id).cloned()
 }
 
--- a/crates/daemon/src/gateway/stream/prefill.rs
+++ b/crates/daemon/src/gateway/stream/prefill.rs
@@ -106,7 +106,7 @@
     prompt: u64,
     zone: &str,
     now: Timestamp,
-    entries: usize,
+    gateways: usize,
 ) -> Option<(Server, Timestamp)> {
     let (registry, engines) = (shared.registry.borrow(), shared.engines.borrow());
     let own = shared.zone();
@@ -117,16 +117,16 @@
         .filter(|s| !announcements::is_unavailable(shared, &s.id));
     let (load_reports, speed_factors) =
         (shared.load_reports.borrow(), shared.speed_factors.borrow());
-    let work = |id: &_| engines.own_load(id).plus(load_reports.engine_loads(now, id));
+    let load = |id: &_| engines.own_load(id).plus(load_reports.peer_load(now, id));
     let learned = shared.service_estimates(service);
     let choice = ChoiceContext {
         speed_factors: &speed_factors,
         prefill_speed: &learned.prefill_speed,
         prompt,
         zone,
-        gateways: entries,
+        gateways,
     };
-    let picked = prefill::pick(now, prefill_engines, work, &choice, || shared.random_fraction());
+    let picked = prefill::pick(now, prefill_engines, load, &choice, || shared.random_fraction());
     picked.map(|(s, at)| (s.clone(), at))
 }
 
--- a/crates/router/src/load_report.rs
+++ b/crates/router/src/load_report.rs
@@ -224,7 +224,7 @@
     }
 
     /// Returns the load of all peers at one engine.
-    pub fn engine_loads(&self, now: Timestamp, id: &ServerId) -> EngineLoad {
+    pub fn peer_load(&self, now: Timestamp, id: &ServerId) -> EngineLoad {
         let timeout = LOAD_TIMEOUT.max(report_interval(self.peers.len()) * LOAD_ROUNDS);
         let number = id.short_hash();
         self.peers
--- a/crates/router/src/prefill.rs
+++ b/crates/router/src/prefill.rs
@@ -64,33 +64,35 @@
     pub gateways: usize,
 }
 
-/// Returns the prefill engine with the earliest predicted end, and that time; `work` is the load of
+/// Returns the prefill engine with the earliest predicted end, and that time; `load_at` is the load of
 /// all gateways at an engine, `draw` is uniform in 0..1.
 pub fn pick<'a>(
     now: Timestamp,
     engines: impl Iterator<Item = &'a Server>,
-    work: impl Fn(&ServerId) -> EngineLoad,
-    choice: &ChoiceContext<'_>,
+    load_at: impl Fn(&ServerId) -> EngineLoad,
+    context: &ChoiceContext<'_>,
     mut draw: impl FnMut() -> f64,
 ) -> Option<(&'a Server, Timestamp)> {
     let mut engines: Vec<(f64, &Server)> = engines.map(|s| (draw(), s)).collect();
     engines.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let sample_len = sample_size(engines.len(), choice.gateways);
+    let sample_len = sample_size(engines.len(), context.gateways);
     let predict = |(draw, s): &(f64, &'a Server)| {
-        let w = work(&s.id);
+        let load = load_at(&s.id);
         // An engine queues hardly more prompts than it has slots and rejects the rest.
-        if w.reads >= s.slots.max(1) {
+        if load.reads >= s.slots.max(1) {
             return None;
         }
-        let took =
-            choice.prefill_speed.time(w, choice.prompt).mul_f64(choice.speed_factors.of(&s.id));
-        let penalty = if s.zone == choice.zone { Duration::ZERO } else { CROSS_ZONE_PENALTY };
+        let took = context
+            .prefill_speed
+            .time(load, context.prompt)
+            .mul_f64(context.speed_factors.of(&s.id));
+        let penalty = if s.zone == context.zone { Duration::ZERO } else { CROSS_ZONE_PENALTY };
         let extra = penalty + JITTER.mul_f64(*draw);
         Some((now.after(took), now.after(took + extra), *s))
     };
     // One engine of the zone is always compared too; decode engines are spread over the zones.
     let (sample, others) = engines.split_at(sample_len.min(engines.len()));
-    let same_zone = others.iter().find(|(_, s)| s.zone == choice.zone);
+    let same_zone = others.iter().find(|(_, s)| s.zone == context.zone);
     let penalized_end = |at: &(Timestamp, Timestamp, &Server)| at.1;
     let best = sample.iter().chain(same_zone).filter_map(predict).min_by_key(penalized_end);
     // When the whole sample is full, the other engines are considered too.
--- a/crates/router/tests/load/world.rs
+++ b/crates/router/tests/load/world.rs
@@ -236,7 +236,7 @@
         let lost = self.plan.lose_engine && self.seconds() > 5.0;
         let prefill_engines = &self.servers[usize::from(lost)..self.plan.prefill_engines];
         let e = &self.entries[entry];
-        let work = |id: &ServerId| e.engines.own_load(id).plus(e.shares.engine_loads(self.now, id));
+        let work = |id: &ServerId| e.engines.own_load(id).plus(e.shares.peer_load(self.now, id));
         let rng = &mut self.rng;
         let paces = SpeedFactors::default();
         let reading = PrefillSpeed::default();
@@ -277,7 +277,7 @@
         }
         let draw = self.rng.random();
         let e = &self.entries[entry];
-        let work = |id: &ServerId| e.shares.engine_loads(self.now, id);
+        let work = |id: &ServerId| e.shares.peer_load(self.now, id);
         let decode_engines = self.servers[self.plan.prefill_engines..].iter();
         let view = AdmissionContext { engine: &self.spec, read_at, gateways: 4 };
         let advice = e.engines.decide(self.now, ticket, &view, decode_engines, work, || draw);
