--- a/crates/check/src/accounts/gateway.rs
+++ b/crates/check/src/accounts/gateway.rs
@@ -25,7 +25,7 @@
 const EARLIER_START: Duration = Duration::from_secs(60);
 
 /// Tolerated excess over a rate limit.
-const EXCESS: Excess = Excess { part: EXCESS_MAX, fixed: 0.0, window: WINDOW };
+const EXCESS: Excess = Excess { fraction: EXCESS_MAX, fixed: 0.0, window: WINDOW };
 
 /// State of one incarnation of a gateway.
 pub struct GatewayProcess {
--- a/crates/check/src/accounts/simulation.rs
+++ b/crates/check/src/accounts/simulation.rs
@@ -371,7 +371,7 @@
             number,
             key: key.clone(),
             need: REQUEST_COST,
-            more: gateway.leases.prefetch(&key),
+            prefetch: gateway.leases.prefetch(&key),
             limit: None,
         };
         let request = Request { asks: request.asks + 1, pending: number, asked_at, ..request };
--- a/crates/check/src/answers/gateway.rs
+++ b/crates/check/src/answers/gateway.rs
@@ -189,7 +189,7 @@
 
     /// Records a fact observed here, and queues it to be published to all gateways.
     pub fn record(&mut self, now: Timestamp, digest: RequestDigest, ago: Duration, fact: Fact) {
-        let update = QuarantineUpdate { digest: digest, age: ago.as_millis() as u64, fact };
+        let update = QuarantineUpdate { digest, age: ago.as_millis() as u64, fact };
         self.quarantine.apply(now, &update);
         if self.mutant != Some(Mutant::Alone) {
             self.updates.push(update);
--- a/crates/check/src/answers/simulation.rs
+++ b/crates/check/src/answers/simulation.rs
@@ -557,8 +557,7 @@
         if gateway.is_reachable(now) && gateway.incarnation == attempt.incarnation {
             let first_output = attempt.began.map(|at| at.after(ms(30)));
             let early = first_output.is_none_or(|at| now < at.after(ms(1_000)));
-            let loss =
-                LostAttempt { digest: digest, early, sent: attempt.sent, at: now, number: n };
+            let loss = LostAttempt { digest, early, sent: attempt.sent, at: now, number: n };
             let prefill = attempt.phase == Phase::Prefill;
             if !(prefill && self.spec.mutant == Some(Mutant::ReadingFree)) {
                 gateway.on_attempt_lost(&self.backends[attempt.server].server, loss);
--- a/crates/daemon/src/gateway/announcements.rs
+++ b/crates/daemon/src/gateway/announcements.rs
@@ -29,11 +29,11 @@
     if !reply.moved {
         limits::on_answer(shared, to, sent, reply.limit);
     }
-    if let Some(pause) = reply.pause.filter(|_| !reply.moved) {
+    if let Some(back_off) = reply.back_off.filter(|_| !reply.moved) {
         let now = shared.now();
-        let (until, as_said) = shared.back_offs.borrow_mut().record(now, to, pause);
+        let (until, as_said) = shared.back_offs.borrow_mut().record(now, to, back_off);
         let ms = until.since(now).as_millis() as u64;
-        tracing::info!(server = %to, ms, ?pause, as_said, "backend server asked for a pause");
+        tracing::info!(server = %to, ms, pause = ?back_off, as_said, "backend server asked for a pause");
         shared.metrics.count("gateway.paused", 1);
     }
 }
--- a/crates/daemon/src/gateway/ingress.rs
+++ b/crates/daemon/src/gateway/ingress.rs
@@ -279,7 +279,7 @@
         maybe_ran: Cell::new(false),
         arrivals: Cell::default(),
         caller,
-        digest: digest,
+        digest,
         body,
         config,
         route,
--- a/crates/daemon/src/gateway/peers.rs
+++ b/crates/daemon/src/gateway/peers.rs
@@ -61,7 +61,8 @@
             summaries_sent_at = now;
             report.zone_summaries = shared.zone_summaries.borrow().relayed(now).cloned().collect();
         }
-        let idle = report.work.is_empty() && report.waiting == 0 && report.changing.is_empty();
+        let idle =
+            report.engine_loads.is_empty() && report.waiting == 0 && report.changing.is_empty();
         if idle && !seq.is_multiple_of(IDLE_ROUNDS) {
             continue;
         }
@@ -186,7 +187,7 @@
         link: store_link(shared),
         waiting: engines.waiting() as u32,
         changing: shared.changing_engines.borrow().clone(),
-        work: engines.engine_loads(),
+        engine_loads: engines.engine_loads(),
         gossip_checksum: gossip::checksum(shared),
         unreachable: quota::unreachable_gateways(shared),
         zone_summaries: Vec::new(),
--- a/crates/daemon/src/gateway/quarantine.rs
+++ b/crates/daemon/src/gateway/quarantine.rs
@@ -267,7 +267,7 @@
 }
 
 fn publish_fact(shared: &Shared, digest: RequestDigest, fact: Fact) {
-    publish(shared, QuarantineUpdate { digest: digest, age: 0, fact });
+    publish(shared, QuarantineUpdate { digest, age: 0, fact });
 }
 
 /// Applies an observation made here and publishes it to all gateways.
@@ -455,7 +455,7 @@
         if fact == Fact::Proved && is_confirmed(&self.0, &digest) {
             return;
         }
-        apply_report(&self.0, &QuarantineUpdate { digest: digest, age: 0, fact }, Some("store"));
+        apply_report(&self.0, &QuarantineUpdate { digest, age: 0, fact }, Some("store"));
     }
 }
 
@@ -466,7 +466,7 @@
         };
         for (server, early, at) in record.endings {
             let age = self.0.now().since(at).as_millis() as u64;
-            let report = QuarantineUpdate { digest: digest, age, fact: Fact::Ended(server, early) };
+            let report = QuarantineUpdate { digest, age, fact: Fact::Ended(server, early) };
             apply_report(&self.0, &report, Some("store"));
         }
     }
--- a/crates/daemon/src/gateway/quota.rs
+++ b/crates/daemon/src/gateway/quota.rs
@@ -117,7 +117,8 @@
     // Every attempt has the same number, so that an owner whose answer was lost grants nothing
     // more.
     let more = shared.token_leases.borrow().prefetch(key);
-    let ask = LeaseRequest { number: shared.random_id(), key: key.clone(), need, more, limit };
+    let ask =
+        LeaseRequest { number: shared.random_id(), key: key.clone(), need, prefetch: more, limit };
     let asked_at = shared.now();
     for _ in 0..attempts {
         let used_up = shared.token_leases.borrow().exhausted(shared.now(), key);
--- a/crates/daemon/src/gateway/send.rs
+++ b/crates/daemon/src/gateway/send.rs
@@ -126,7 +126,7 @@
     let attempt = async {
         let head = head(shared, intake, to, req, expect).await?;
         let Head { mut reply, response, conn } = head;
-        reply.stamped |= expect == Expect::Handle;
+        reply.signed |= expect == Expect::Handle;
         let outcome = AttemptOutcome::from_reply(&reply, intake.caller.attempt.as_deref());
         let (status, headers) =
             (response.status(), headers::forwarded_to_caller(response.headers()));
--- a/crates/daemon/src/gateway/stream.rs
+++ b/crates/daemon/src/gateway/stream.rs
@@ -231,9 +231,9 @@
         None => prefill::local_ready_at(shared, service, prompt, now),
     };
     let free = admission::free_fraction(shared, service, spec).max(0.0) * 1_000.0;
-    let places = admission::free_slots(shared, service, spec);
+    let free_slots = admission::free_slots(shared, service, spec);
     let read = read_at.since(now).as_millis() as u32;
-    ServiceCapacity { service: service.to_owned(), free: free as u32, places, read }
+    ServiceCapacity { service: service.to_owned(), free: free as u32, free_slots, prefill_ms: read }
 }
 
 /// Tokens in one event of the service's engines.
--- a/crates/daemon/src/gateway/stream/admission.rs
+++ b/crates/daemon/src/gateway/stream/admission.rs
@@ -198,8 +198,7 @@
     let load_reports = shared.load_reports.borrow();
     let servers: Vec<&Server> = decode_engines(shared, &registry, service).collect();
     let engines = shared.engines.borrow();
-    engines
-        .free_capacity(now, &servers, spec, typical_memory, |id| load_reports.peer_load(now, id))
+    engines.free_capacity(now, &servers, spec, typical_memory, |id| load_reports.peer_load(now, id))
 }
 
 fn leave_queue(shared: &Shared, state: &mut StreamState) {
--- a/crates/daemon/src/gateway/stream/prefill.rs
+++ b/crates/daemon/src/gateway/stream/prefill.rs
@@ -98,7 +98,7 @@
     }
 }
 
-/// Picks a prefill engine for an answer written in `zone`, as one of `entries` gateways that do
+/// Picks a prefill engine for an answer written in `zone`, as one of `gateways` gateways that do
 /// so; returns it and when it would have read the prompt.
 fn pick(
     shared: &Shared,
--- a/crates/router/benches/accounts.rs
+++ b/crates/router/benches/accounts.rs
@@ -61,7 +61,7 @@
                 number,
                 key: LimitKey::account("account-7"),
                 need: 100,
-                more: 0,
+                prefetch: 0,
                 limit: None,
             };
             // The time moves on, so that grants of earlier iterations expire.
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -444,7 +444,7 @@
         let (mut free, mut all) = (0, 0);
         for s in servers.iter().filter(|s| !self.faulty(now, &s.id)) {
             let used = self.own_load(&s.id).plus(peer_load(&s.id)).memory;
-            free += used.room(engine.tokens, MARGIN_SIGMAS).max(0) as u64;
+            free += used.free_tokens(engine.tokens, MARGIN_SIGMAS).max(0) as u64;
             all += engine.tokens;
         }
         free as f64 / (all as f64).max(1.0)
@@ -459,13 +459,13 @@
         typical: MemoryForecast,
         peer_load: impl Fn(&ServerId) -> EngineLoad,
     ) -> u32 {
-        let places = |s: &&&Server| {
+        let slots_left = |s: &&&Server| {
             let all = self.own_load(&s.id).plus(peer_load(&s.id));
-            let room = all.memory.room(engine.tokens, MARGIN_SIGMAS).max(0) as u64;
+            let free = all.memory.free_tokens(engine.tokens, MARGIN_SIGMAS).max(0) as u64;
             let slots = engine.slots.saturating_sub(all.count);
-            slots.min((room / typical.peak().max(1)) as u32)
+            slots.min((free / typical.peak().max(1)) as u32)
         };
-        servers.iter().filter(|s| self.may_take(now, &s.id)).map(|s| places(&s)).sum()
+        servers.iter().filter(|s| self.may_take(now, &s.id)).map(|s| slots_left(&s)).sum()
     }
 
     /// Predicts when a request with `ahead` requests before it is admitted, from the rate of
@@ -488,16 +488,16 @@
         memory: MemoryForecast,
         draw: &mut impl FnMut() -> f64,
     ) -> Option<ServerId> {
-        let room = |s: &Server| {
+        let free = |s: &Server| {
             let all = self.own_load(&s.id).plus(peer_load(&s.id));
-            let room = all.memory.plus(memory).room(context.engine.tokens, MARGIN_SIGMAS);
+            let free = all.memory.plus(memory).free_tokens(context.engine.tokens, MARGIN_SIGMAS);
             // An idle engine takes an answer that fits its memory now, even if it may outgrow it.
             let idle_fit = all.count == 0 && memory.reserved() <= context.engine.tokens;
-            ((room >= 0 || idle_fit) && all.count < context.engine.slots).then_some(room)
+            ((free >= 0 || idle_fit) && all.count < context.engine.slots).then_some(free)
         };
         let servers = servers.iter().filter(|s| self.may_take(now, &s.id));
         let mut candidates: Vec<(f64, i64, &Server)> =
-            servers.filter_map(|s| Some((draw(), room(s)?, *s))).collect();
+            servers.filter_map(|s| Some((draw(), free(s)?, *s))).collect();
         candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
         let sample_len = sample_size(candidates.len(), context.gateways).min(candidates.len());
         candidates[..sample_len]
--- a/crates/router/src/forecast.rs
+++ b/crates/router/src/forecast.rs
@@ -111,7 +111,7 @@
 
     /// Returns the least room left of `memory` at any point, with `margin` standard deviations kept
     /// free; negative when memory is expected to run out.
-    pub fn room(&self, memory: u64, margin: f64) -> i64 {
+    pub fn free_tokens(&self, memory: u64, margin: f64) -> i64 {
         let room = |(mean, variance): (&u64, &u64)| {
             let margin_tokens = (*variance as f64 * VARIANCE_UNIT).sqrt() * margin;
             memory as i64 - *mean as i64 - margin_tokens as i64
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -32,7 +32,7 @@
 /// Smallest burst: a reservation and the run that uses it.
 const BURST_MIN: f64 = 2.0;
 /// Load above its limit that a server tolerates for a short time, while the owner of the limit may be lost.
-pub const EXCESS: Excess = Excess { part: 0.5, fixed: 0.0, window: Duration::from_secs(4) };
+pub const EXCESS: Excess = Excess { fraction: 0.5, fixed: 0.0, window: Duration::from_secs(4) };
 
 impl Limit {
     /// The limit as a shared rate limit.
--- a/crates/router/src/load_report.rs
+++ b/crates/router/src/load_report.rs
@@ -139,7 +139,7 @@
     pub changing: Vec<ServerId>,
     /// Load of the sender, by short hash of the engine's id.
     #[serde(rename = "w")]
-    pub work: BTreeMap<u32, EngineLoad>,
+    pub engine_loads: BTreeMap<u32, EngineLoad>,
     /// Checksum of the sender's gossip state.
     #[serde(rename = "t", default, skip_serializing_if = "is_zero")]
     pub gossip_checksum: u64,
@@ -230,7 +230,7 @@
         self.peers
             .values()
             .filter(|p| now.since(p.received_at) < timeout)
-            .filter_map(|p| p.report.work.get(&number))
+            .filter_map(|p| p.report.engine_loads.get(&number))
             .fold(EngineLoad::default(), |sum, w| sum.plus(*w))
     }
 
--- a/crates/router/src/node.rs
+++ b/crates/router/src/node.rs
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Excess {
     /// Fraction of what the quota allows in the window.
-    pub part: f64,
+    pub fraction: f64,
     /// Fixed amount beside that, in the unit of the quota.
     pub fixed: f64,
     /// Length of the window.
--- a/crates/router/src/outcome.rs
+++ b/crates/router/src/outcome.rs
@@ -25,7 +25,7 @@
     /// Id of the attempt that it answers.
     pub attempt: Option<String>,
     /// It has the backend server's signature.
-    pub stamped: bool,
+    pub signed: bool,
     /// The backend server states that it did not run the request.
     pub not_run: bool,
     /// Another incarnation of a backend server has the address.
@@ -39,7 +39,7 @@
     /// The backend server announces that it leaves.
     pub leaving: bool,
     /// The backend server asks this gateway to back off.
-    pub pause: Option<BackOff>,
+    pub back_off: Option<BackOff>,
     /// Rate limit that the backend server states for all gateways.
     pub limit: Option<Limit>,
 }
@@ -88,7 +88,7 @@
         match reply {
             Reply { moved: true, .. } => AttemptOutcome::Moved,
             Reply { not_run: true, .. } => AttemptOutcome::Rejected,
-            Reply { stamped: false, status, .. } if *status < 300 => AttemptOutcome::Lost,
+            Reply { signed: false, status, .. } if *status < 300 => AttemptOutcome::Lost,
             Reply { encoded: true, .. } => AttemptOutcome::Lost,
             Reply { status, .. } => AttemptOutcome::Answered(*status),
         }
--- a/crates/router/src/quota.rs
+++ b/crates/router/src/quota.rs
@@ -62,7 +62,7 @@
     pub need: u64,
     /// Tokens for expected demand.
     #[serde(rename = "m")]
-    pub more: u64,
+    pub prefetch: u64,
     /// Limit of a backend server as known to the sender; the owner may not have received it yet.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
     pub limit: Option<Limit>,
--- a/crates/router/src/quota/issuer.rs
+++ b/crates/router/src/quota/issuer.rs
@@ -35,7 +35,7 @@
 /// Share of a limit that a standby grants beside an owner that may be alive.
 pub fn standby_share(bound: &Rate, excess: &Excess) -> f64 {
     let allowed = bound.rate * excess.window.as_secs_f64() + bound.burst;
-    STANDBY_FRACTION * (excess.part + excess.fixed / allowed.max(1.0)).min(1.0)
+    STANDBY_FRACTION * (excess.fraction + excess.fixed / allowed.max(1.0)).min(1.0)
 }
 
 /// Limits that this gateway owns.
@@ -117,7 +117,7 @@
         match row.bucket.take_many(now, &rate, request.need as f64) {
             Ok(()) => {
                 let surplus = (row.bucket.level() - rate.burst * RESERVED_FRACTION).max(0.0);
-                let extra = surplus.min(request.more as f64).floor();
+                let extra = surplus.min(request.prefetch as f64).floor();
                 row.bucket.put(&rate, -extra);
                 let reply = LeaseDecision::Lent(request.need + extra as u64);
                 self.recent_grants.push_back((now, request.number, reply));
--- a/crates/router/src/zones.rs
+++ b/crates/router/src/zones.rs
@@ -92,10 +92,10 @@
     pub free: u32,
     /// Average requests that can be admitted now; memory fragments that are too small don't count.
     #[serde(rename = "p")]
-    pub places: u32,
+    pub free_slots: u32,
     /// Milliseconds until an average prompt would be processed.
     #[serde(rename = "r")]
-    pub read: u32,
+    pub prefill_ms: u32,
 }
 
 /// Zone summary that a zone leader sends to other zones.
@@ -201,8 +201,8 @@
         let weight = |summary: &ZoneSummary| {
             let capacity = summary.capacities.iter().find(|c| c.service == service)?;
             let fits = capacity.free > OVERFLOW_FREE_MIN
-                && u128::from(capacity.read) <= within.as_millis();
-            (fits && capacity.places > 0).then(|| f64::from(capacity.places))
+                && u128::from(capacity.prefill_ms) <= within.as_millis();
+            (fits && capacity.free_slots > 0).then(|| f64::from(capacity.free_slots))
         };
         let mut fit: Vec<(f64, &ZoneSummary)> = self
             .live(now)
--- a/crates/router/tests/engines.rs
+++ b/crates/router/tests/engines.rs
@@ -317,7 +317,7 @@
     let mut engines = EngineAdmission::default();
     let growth = AnswerLengths::default().expect(20_000, None);
     let long = Demand { memory: growth.memory_forecast(15_000, 0), ..need() };
-    assert!(long.memory.room(spec().tokens, MARGIN_SIGMAS) < 0);
+    assert!(long.memory.free_tokens(spec().tokens, MARGIN_SIGMAS) < 0);
     let ticket = engines.join(NOW, long, after(100));
     assert_eq!(advise(&engines, NOW, ticket, &servers), AdmissionDecision::Ask(id(0)));
     engines.on_reserved(&id(0), MemoryForecast::constant(1_000));
--- a/crates/router/tests/limits.rs
+++ b/crates/router/tests/limits.rs
@@ -111,8 +111,13 @@
         let mut held = holder.spend(now, &key, 1);
         if !held {
             let more = holder.prefetch(&key);
-            let ask =
-                LeaseRequest { number: n, key: key.clone(), need: 1, more, limit: Some(limit) };
+            let ask = LeaseRequest {
+                number: n,
+                key: key.clone(),
+                need: 1,
+                prefetch: more,
+                limit: Some(limit),
+            };
             match issuer.grant(now, &ask, &bound, 1.0, true) {
                 LeaseDecision::Lent(tokens) => {
                     holder.on_granted(&key, now, tokens);
@@ -166,7 +171,7 @@
             now += pause;
             issuer.tick(at(now), 1);
             let (number, key) = (number as u64, LimitKey::Server(id()));
-            let ask = LeaseRequest { number, key, need, more, limit: Some(limit) };
+            let ask = LeaseRequest { number, key, need, prefetch: more, limit: Some(limit) };
             if let LeaseDecision::Lent(tokens) = issuer.grant(at(now), &ask, &bound, 1.0, true) {
                 let used_at = now + later.min(LEASE_TTL.as_millis() as u64);
                 used.extend((0..tokens).map(|_| used_at));
--- a/crates/router/tests/load/world.rs
+++ b/crates/router/tests/load/world.rs
@@ -373,7 +373,7 @@
             .map(|(i, e)| LoadReport {
                 name: format!("e{i}"),
                 seq: self.steps,
-                work: e.engines.engine_loads(),
+                engine_loads: e.engines.engine_loads(),
                 ..LoadReport::default()
             })
             .collect();
--- a/crates/router/tests/memory.rs
+++ b/crates/router/tests/memory.rs
@@ -302,7 +302,7 @@
     assert!(new.peak() > 3_400 && new.peak() < 3_200 + 2_040, "{new:?}");
     // Answers that have reached the longest output no longer count.
     let alone = MemoryForecast::constant(0).plus(new);
-    assert!(alone.room(10_000, 0.0) > alone.room(10_000, MARGIN_SIGMAS));
+    assert!(alone.free_tokens(10_000, 0.0) > alone.free_tokens(10_000, MARGIN_SIGMAS));
     assert_eq!(new.minus(new), MemoryForecast::default());
     // An answer that is long overdue is expected to end soon, but still counts now.
     let overdue = growth.memory_forecast(3_200, 2_000);
--- a/crates/router/tests/outcome.rs
+++ b/crates/router/tests/outcome.rs
@@ -4,7 +4,7 @@
 use ebonyloft_router::outcome::{AttemptOutcome, Progress, REJECTIONS_MAX, Reply};
 
 fn reply(status: u16) -> Reply {
-    Reply { status, attempt: Some("a".into()), stamped: true, ..Reply::default() }
+    Reply { status, attempt: Some("a".into()), signed: true, ..Reply::default() }
 }
 
 #[test]
@@ -29,7 +29,7 @@
 #[test]
 fn a_success_needs_a_signature_and_an_unencoded_body() {
     assert_eq!(
-        AttemptOutcome::from_reply(&Reply { stamped: false, ..reply(200) }, Some("a")),
+        AttemptOutcome::from_reply(&Reply { signed: false, ..reply(200) }, Some("a")),
         AttemptOutcome::Lost
     );
     assert_eq!(
--- a/crates/router/tests/quota.rs
+++ b/crates/router/tests/quota.rs
@@ -25,7 +25,7 @@
 fn ask(need: u64, more: u64) -> LeaseRequest {
     static NUMBER: AtomicU64 = AtomicU64::new(1);
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-    LeaseRequest { number, key: LimitKey::account("one"), need, more, limit: None }
+    LeaseRequest { number, key: LimitKey::account("one"), need, prefetch: more, limit: None }
 }
 
 fn granted(reply: LeaseDecision) -> u64 {
@@ -270,7 +270,7 @@
 
 #[test]
 fn an_owner_and_its_standby_stay_within_the_tolerated_excess() {
-    let excess = Excess { part: 0.1, fixed: 190_000.0, window: Duration::from_secs(8) };
+    let excess = Excess { fraction: 0.1, fixed: 190_000.0, window: Duration::from_secs(8) };
     for rate in [500.0, 47_000.0, 190_000.0, 2e6] {
         let bound = Rate { rate, burst: rate };
         let allowed = rate * 8.0 + rate;
--- a/crates/router/tests/share.rs
+++ b/crates/router/tests/share.rs
@@ -23,7 +23,13 @@
     let memory = MemoryForecast::constant(tokens);
     let work = EngineLoad { memory, count: 1, ..EngineLoad::default() };
     let work = BTreeMap::from([(id().short_hash(), work)]);
-    LoadReport { name: name.into(), incarnation: life, seq, work, ..LoadReport::default() }
+    LoadReport {
+        name: name.into(),
+        incarnation: life,
+        seq,
+        engine_loads: work,
+        ..LoadReport::default()
+    }
 }
 
 #[test]
@@ -118,7 +124,7 @@
     );
     assert!(decoded.memory.now().abs_diff(original.memory.now()) <= 16);
     assert!(decoded.memory.peak().abs_diff(original.memory.peak()) <= 16);
-    let room = |work: EngineLoad| work.memory.room(43_000, 2.4);
+    let room = |work: EngineLoad| work.memory.free_tokens(43_000, 2.4);
     assert!(
         room(decoded).abs_diff(room(original)) <= 16 + 77,
         "{} {}",
--- a/crates/router/tests/zones.rs
+++ b/crates/router/tests/zones.rs
@@ -25,7 +25,12 @@
         roster: 1,
         fleet: 1,
         gossip_checksum: 0,
-        capacities: vec![ServiceCapacity { service: "llm".into(), free, places: free / 100, read }],
+        capacities: vec![ServiceCapacity {
+            service: "llm".into(),
+            free,
+            free_slots: free / 100,
+            prefill_ms: read,
+        }],
     }
 }
 
@@ -105,7 +110,7 @@
     digests.on_summary(NOW, digest("late", 1, 500, 501));
     assert_eq!(overflow_zone(&digests, NOW, &[], 0.5), None);
     let mut pieces = digest("pieces", 1, 500, 0);
-    pieces.capacities[0].places = 0;
+    pieces.capacities[0].free_slots = 0;
     digests.on_summary(NOW, pieces);
     assert_eq!(overflow_zone(&digests, NOW, &[], 0.5), None);
     digests.on_summary(NOW, digest("good", 1, 500, 499));
--- a/crates/standins/tests/gateway.rs
+++ b/crates/standins/tests/gateway.rs
@@ -520,7 +520,7 @@
         compio::time::timeout(8 * SECOND, receive_report()).await.expect("a first report");
         compio::time::sleep(SECOND * 6 / 10).await;
         let task = summary_task(fleet, SUMMARY);
-        let reported = async { while receive_report().await.work.is_empty() {} };
+        let reported = async { while receive_report().await.engine_loads.is_empty() {} };
         compio::time::timeout(SECOND * 4 / 10, reported).await.expect("the new work is reported");
         task.await.expect("the caller's task").expect("an answer");
     });
