--- a/crates/router/tests/delegate.rs
+++ b/crates/router/tests/delegate.rs
@@ -160,27 +160,27 @@
 
 #[test]
 fn a_silent_zone_leader_does_not_count() {
-    let mut shares = LoadReports::default();
-    shares.on_report(
+    let mut load_reports = LoadReports::default();
+    load_reports.on_report(
         NOW,
         LoadReport { name: "a".into(), seq: 1, link: HEARD, ..LoadReport::default() },
     );
-    assert_eq!(shares.link(NOW, "a"), Some(HEARD));
-    assert_eq!(shares.link(NOW.after(LEADER_TIMEOUT), "a"), None);
-    assert_eq!(shares.best_link(NOW.after(LEADER_TIMEOUT)), StoreLink::Indirect);
+    assert_eq!(load_reports.link(NOW, "a"), Some(HEARD));
+    assert_eq!(load_reports.link(NOW.after(LEADER_TIMEOUT), "a"), None);
+    assert_eq!(load_reports.best_link(NOW.after(LEADER_TIMEOUT)), StoreLink::Indirect);
 }
 
 #[test]
 fn the_best_link_of_all_peers_counts() {
-    let mut shares = LoadReports::default();
+    let mut load_reports = LoadReports::default();
     let links =
         [StoreLink::Indirect, StoreLink::Away, StoreLink::Heard { settles: 900, age: 0 }, HEARD];
     for (n, link) in links.into_iter().enumerate() {
-        shares.on_report(
+        load_reports.on_report(
             NOW,
             LoadReport { name: format!("p{n}"), seq: 1, link, ..LoadReport::default() },
         );
-        assert_eq!(shares.best_link(NOW), link);
+        assert_eq!(load_reports.best_link(NOW), link);
     }
 }
 
@@ -224,20 +224,20 @@
 /// know more don't count.
 #[test]
 fn a_list_from_peers_is_as_old_as_they_report() {
-    let mut shares = LoadReports::default();
-    assert_eq!(shares.known_at(NOW, 9), None);
+    let mut load_reports = LoadReports::default();
+    assert_eq!(load_reports.known_at(NOW, 9), None);
     let link = |age| StoreLink::Heard { settles: 0, age };
     let peers =
         [("a", 9, link(400)), ("b", 8, link(300)), ("c", 10, link(0)), ("d", 9, StoreLink::Away)];
     for (name, roster, link) in peers {
-        shares.on_report(
+        load_reports.on_report(
             NOW,
             LoadReport { name: name.into(), seq: 1, roster, link, ..LoadReport::default() },
         );
     }
     let ago = |ms| Some(NOW.before(Duration::from_millis(ms)));
-    assert_eq!(shares.known_at(NOW, 9), ago(300));
-    assert_eq!(shares.known_at(NOW, 10), ago(0));
-    assert_eq!(shares.known_at(NOW, 7), None);
-    assert_eq!(shares.known_at(NOW.after(LEADER_TIMEOUT), 9), None);
+    assert_eq!(load_reports.known_at(NOW, 9), ago(300));
+    assert_eq!(load_reports.known_at(NOW, 10), ago(0));
+    assert_eq!(load_reports.known_at(NOW, 7), None);
+    assert_eq!(load_reports.known_at(NOW.after(LEADER_TIMEOUT), 9), None);
 }
--- a/crates/router/tests/engines.rs
+++ b/crates/router/tests/engines.rs
@@ -66,8 +66,8 @@
     servers: &[Server],
     peers: EngineLoad,
 ) -> AdmissionDecision {
-    let view = AdmissionContext { engine: &spec(), read_at, gateways: 4 };
-    engines.decide(at, ticket, &view, servers.iter(), |_| peers, || 0.5)
+    let context = AdmissionContext { engine: &spec(), read_at, gateways: 4 };
+    engines.decide(at, ticket, &context, servers.iter(), |_| peers, || 0.5)
 }
 
 #[test]
@@ -259,8 +259,8 @@
 
 /// The decision for a request while memory is scarce.
 fn advise_scarce(engines: &EngineAdmission, ticket: Ticket) -> AdmissionDecision {
-    let view = AdmissionContext { engine: &spec(), read_at: after(100), gateways: 4 };
-    engines.decide(NOW, ticket, &view, servers(20).iter(), scarce, || 0.5)
+    let context = AdmissionContext { engine: &spec(), read_at: after(100), gateways: 4 };
+    engines.decide(NOW, ticket, &context, servers(20).iter(), scarce, || 0.5)
 }
 
 /// A request of low value leaves scarce memory to others.
@@ -306,8 +306,8 @@
     read_ms: u64,
     servers: &[Server],
 ) -> Option<ServerId> {
-    let view = AdmissionContext { engine: &spec(), read_at: after(read_ms), gateways: 4 };
-    engines.grant(NOW, need, &view, servers.iter(), |_| EngineLoad::default(), || 0.5)
+    let context = AdmissionContext { engine: &spec(), read_at: after(read_ms), gateways: 4 };
+    engines.grant(NOW, need, &context, servers.iter(), |_| EngineLoad::default(), || 0.5)
 }
 
 /// An answer that may outgrow an engine's memory is admitted where nothing else runs.
@@ -356,8 +356,8 @@
     let servers = servers(1);
     let mut engines = EngineAdmission::default();
     let short = |engines: &EngineAdmission, read_ms: u64| {
-        let view = AdmissionContext { engine: &spec(), read_at: after(read_ms), gateways: 4 };
-        engines.is_short(NOW, &need(), &view, servers.iter(), |_| EngineLoad::default())
+        let context = AdmissionContext { engine: &spec(), read_at: after(read_ms), gateways: 4 };
+        engines.is_short(NOW, &need(), &context, servers.iter(), |_| EngineLoad::default())
     };
     assert!(!short(&engines, 100));
     assert!(short(&engines, 800), "no prefill engine in time");
--- a/crates/router/tests/losses.rs
+++ b/crates/router/tests/losses.rs
@@ -27,7 +27,7 @@
     }
 }
 
-fn loss(content: u64, at: Timestamp) -> LostAttempt {
+fn lost_attempt(content: u64, at: Timestamp) -> LostAttempt {
     LostAttempt {
         digest: RequestDigest(content, 0),
         early: true,
@@ -37,90 +37,103 @@
     }
 }
 
-fn probed(losses: &mut LostAttempts, now: Timestamp) -> Vec<String> {
-    losses.due_probes(now).into_iter().map(|(id, _)| id.name).collect()
+fn probed(lost_attempts: &mut LostAttempts, now: Timestamp) -> Vec<String> {
+    lost_attempts.due_probes(now).into_iter().map(|(id, _)| id.name).collect()
 }
 
 #[test]
 fn a_server_that_answers_later_did_not_crash() {
-    let mut losses = LostAttempts::default();
-    losses.add(&server("a"), loss(1, NOW), STREAM_PROBE_DELAY);
+    let mut lost_attempts = LostAttempts::default();
+    lost_attempts.add(&server("a"), lost_attempt(1, NOW), STREAM_PROBE_DELAY);
     // Sent before the loss: the server may have answered and then crashed.
     let before = NOW.before(Duration::from_millis(1));
-    assert_eq!(losses.on_answer(&ServerId::new("a", 0), before), []);
-    assert!(losses.is_investigated(&RequestDigest(1, 0)));
-    assert_eq!(losses.on_answer(&ServerId::new("a", 0), NOW), [loss(1, NOW)]);
-    assert!(!losses.is_investigated(&RequestDigest(1, 0)));
-    assert_eq!(losses.on_crash(&ServerId::new("a", 0)), []);
+    assert_eq!(lost_attempts.on_answer(&ServerId::new("a", 0), before), []);
+    assert!(lost_attempts.is_investigated(&RequestDigest(1, 0)));
+    assert_eq!(lost_attempts.on_answer(&ServerId::new("a", 0), NOW), [lost_attempt(1, NOW)]);
+    assert!(!lost_attempts.is_investigated(&RequestDigest(1, 0)));
+    assert_eq!(lost_attempts.on_crash(&ServerId::new("a", 0)), []);
 }
 
 #[test]
 fn servers_are_probed_soon_for_streams_and_later_for_calls() {
-    let mut losses = LostAttempts::default();
-    losses.add(&server("a"), loss(1, NOW), STREAM_PROBE_DELAY);
-    losses.add(&server("b"), loss(2, NOW), CALL_PROBE_DELAY);
-    assert!(probed(&mut losses, NOW).is_empty());
-    assert_eq!(losses.next_probe_at(), Some(NOW.after(STREAM_PROBE_DELAY)));
-    assert_eq!(probed(&mut losses, NOW.after(STREAM_PROBE_DELAY)), ["a"]);
-    assert!(probed(&mut losses, NOW.after(STREAM_PROBE_DELAY)).is_empty(), "one probe at a time");
-    assert_eq!(probed(&mut losses, NOW.after(CALL_PROBE_DELAY)), ["a", "b"]);
+    let mut lost_attempts = LostAttempts::default();
+    lost_attempts.add(&server("a"), lost_attempt(1, NOW), STREAM_PROBE_DELAY);
+    lost_attempts.add(&server("b"), lost_attempt(2, NOW), CALL_PROBE_DELAY);
+    assert!(probed(&mut lost_attempts, NOW).is_empty());
+    assert_eq!(lost_attempts.next_probe_at(), Some(NOW.after(STREAM_PROBE_DELAY)));
+    assert_eq!(probed(&mut lost_attempts, NOW.after(STREAM_PROBE_DELAY)), ["a"]);
+    assert!(
+        probed(&mut lost_attempts, NOW.after(STREAM_PROBE_DELAY)).is_empty(),
+        "one probe at a time"
+    );
+    assert_eq!(probed(&mut lost_attempts, NOW.after(CALL_PROBE_DELAY)), ["a", "b"]);
 }
 
 /// A server with too many connections refuses one too.
 #[test]
 fn a_crash_needs_two_refused_connections() {
-    let (mut losses, id) = (LostAttempts::default(), ServerId::new("a", 0));
-    losses.add(&server("a"), loss(1, NOW), STREAM_PROBE_DELAY);
-    assert!(!losses.on_probe_result(&id, ProbeResult::Nobody));
-    losses.on_answer(&id, NOW.before(Duration::from_millis(1)));
-    assert!(!losses.on_probe_result(&id, ProbeResult::Nobody), "the server answered in between");
-    assert!(losses.on_probe_result(&id, ProbeResult::Nobody));
-    assert_eq!(losses.on_crash(&id), [loss(1, NOW)]);
+    let (mut lost_attempts, id) = (LostAttempts::default(), ServerId::new("a", 0));
+    lost_attempts.add(&server("a"), lost_attempt(1, NOW), STREAM_PROBE_DELAY);
+    assert!(!lost_attempts.on_probe_result(&id, ProbeResult::Nobody));
+    lost_attempts.on_answer(&id, NOW.before(Duration::from_millis(1)));
+    assert!(
+        !lost_attempts.on_probe_result(&id, ProbeResult::Nobody),
+        "the server answered in between"
+    );
+    assert!(lost_attempts.on_probe_result(&id, ProbeResult::Nobody));
+    assert_eq!(lost_attempts.on_crash(&id), [lost_attempt(1, NOW)]);
 }
 
 #[test]
 fn another_incarnation_at_the_address_means_a_crash() {
-    let (mut losses, id) = (LostAttempts::default(), ServerId::new("a", 0));
-    losses.add(&server("a"), loss(1, NOW), STREAM_PROBE_DELAY);
-    assert!(!losses.on_probe_result(&id, ProbeResult::Silence));
-    assert!(losses.on_probe_result(&id, ProbeResult::Other));
+    let (mut lost_attempts, id) = (LostAttempts::default(), ServerId::new("a", 0));
+    lost_attempts.add(&server("a"), lost_attempt(1, NOW), STREAM_PROBE_DELAY);
+    assert!(!lost_attempts.on_probe_result(&id, ProbeResult::Silence));
+    assert!(lost_attempts.on_probe_result(&id, ProbeResult::Other));
 }
 
 /// Guards against refusing a request that many callers send: each crashed server was sent it again before its
 /// registration expired and closed the connection, which was taken for a crash caused by that request.
 #[test]
 fn an_attempt_sent_after_the_crash_did_not_cause_it() {
-    let mut losses = LostAttempts::default();
+    let mut lost_attempts = LostAttempts::default();
     let id = ServerId::new("a", 0);
-    losses.add(&server("a"), loss(1, NOW), STREAM_PROBE_DELAY);
+    lost_attempts.add(&server("a"), lost_attempt(1, NOW), STREAM_PROBE_DELAY);
     // Both were lost later: the first was running when the server crashed, the second was sent afterwards.
-    losses.add(&server("a"), loss(2, NOW.after(RUN / 2)), STREAM_PROBE_DELAY);
-    losses.add(&server("a"), loss(3, NOW.after(RUN * 2)), STREAM_PROBE_DELAY);
-    assert_eq!(losses.on_crash(&id), [loss(1, NOW), loss(2, NOW.after(RUN / 2))]);
+    lost_attempts.add(&server("a"), lost_attempt(2, NOW.after(RUN / 2)), STREAM_PROBE_DELAY);
+    lost_attempts.add(&server("a"), lost_attempt(3, NOW.after(RUN * 2)), STREAM_PROBE_DELAY);
+    assert_eq!(
+        lost_attempts.on_crash(&id),
+        [lost_attempt(1, NOW), lost_attempt(2, NOW.after(RUN / 2))]
+    );
 }
 
 #[test]
 fn a_new_incarnation_ends_only_the_previous_one() {
-    let mut losses = LostAttempts::default();
+    let mut lost_attempts = LostAttempts::default();
     let (old, new) = (ServerId::new("a", 1), ServerId::new("a", 2));
     for id in [&old, &new] {
-        losses.add(&Server { id: id.clone(), ..server("a") }, loss(1, NOW), STREAM_PROBE_DELAY);
+        lost_attempts.add(
+            &Server { id: id.clone(), ..server("a") },
+            lost_attempt(1, NOW),
+            STREAM_PROBE_DELAY,
+        );
     }
-    losses.add(&server("b"), loss(2, NOW), STREAM_PROBE_DELAY);
-    assert_eq!(losses.on_crash_except("a", Some(&new)), [(old, vec![loss(1, NOW)])]);
-    assert_eq!(losses.on_crash_except("a", None), [(new, vec![loss(1, NOW)])]);
-    assert!(losses.is_investigated(&RequestDigest(2, 0)));
+    lost_attempts.add(&server("b"), lost_attempt(2, NOW), STREAM_PROBE_DELAY);
+    assert_eq!(lost_attempts.on_crash_except("a", Some(&new)), [(old, vec![lost_attempt(1, NOW)])]);
+    assert_eq!(lost_attempts.on_crash_except("a", None), [(new, vec![lost_attempt(1, NOW)])]);
+    assert!(lost_attempts.is_investigated(&RequestDigest(2, 0)));
 }
 
 /// A crashed server is back after some seconds; probes must continue until then.
 #[test]
 fn probes_are_spread_over_seconds() {
-    let mut losses = LostAttempts::default();
-    losses.add(&server("a"), loss(1, NOW), STREAM_PROBE_DELAY);
+    let mut lost_attempts = LostAttempts::default();
+    lost_attempts.add(&server("a"), lost_attempt(1, NOW), STREAM_PROBE_DELAY);
     let mut probed_at = Vec::new();
     for step in 0..(INVESTIGATION_TIMEOUT.as_millis() / 10) as u32 {
         let now = NOW.after(Duration::from_millis(10) * step);
-        if !probed(&mut losses, now).is_empty() {
+        if !probed(&mut lost_attempts, now).is_empty() {
             probed_at.push(now.since(NOW));
         }
     }
@@ -130,29 +143,29 @@
 
 #[test]
 fn another_registration_at_the_address_ends_the_server() {
-    let mut losses = LostAttempts::default();
-    losses.add(&server("a"), loss(1, NOW), STREAM_PROBE_DELAY);
+    let mut lost_attempts = LostAttempts::default();
+    lost_attempts.add(&server("a"), lost_attempt(1, NOW), STREAM_PROBE_DELAY);
     let addr = server("a").addr;
-    assert_eq!(losses.replaced(addr, &ServerId::new("a", 0)), []);
-    assert_eq!(losses.replaced(addr, &ServerId::new("b", 0)), [ServerId::new("a", 0)]);
-    assert_eq!(losses.replaced(([127, 0, 0, 2], 1).into(), &ServerId::new("b", 0)), []);
+    assert_eq!(lost_attempts.replaced(addr, &ServerId::new("a", 0)), []);
+    assert_eq!(lost_attempts.replaced(addr, &ServerId::new("b", 0)), [ServerId::new("a", 0)]);
+    assert_eq!(lost_attempts.replaced(([127, 0, 0, 2], 1).into(), &ServerId::new("b", 0)), []);
 }
 
 /// Neither a silent network path nor the passing of time shows that a server crashed.
 #[test]
 fn an_unexplained_loss_is_not_a_crash() {
-    let mut losses = LostAttempts::default();
-    losses.add(&server("a"), loss(1, NOW), STREAM_PROBE_DELAY);
+    let mut lost_attempts = LostAttempts::default();
+    lost_attempts.add(&server("a"), lost_attempt(1, NOW), STREAM_PROBE_DELAY);
     let mut probes = 0;
     let mut now = NOW;
     while now < NOW.after(INVESTIGATION_TIMEOUT) {
-        probes += probed(&mut losses, now).len();
-        assert_eq!(losses.expire(now), []);
+        probes += probed(&mut lost_attempts, now).len();
+        assert_eq!(lost_attempts.expire(now), []);
         now = now.after(PROBE_INTERVAL / 3);
     }
     assert!(probes <= 10, "{probes}");
-    assert_eq!(losses.expire(now), [(ServerId::new("a", 0), loss(1, NOW))]);
-    assert_eq!(losses.on_crash(&ServerId::new("a", 0)), []);
+    assert_eq!(lost_attempts.expire(now), [(ServerId::new("a", 0), lost_attempt(1, NOW))]);
+    assert_eq!(lost_attempts.on_crash(&ServerId::new("a", 0)), []);
 }
 
 #[test]
--- a/crates/router/tests/memory.rs
+++ b/crates/router/tests/memory.rs
@@ -168,11 +168,11 @@
         };
         let ticket = self.engines.join(now, need, now);
         let spec = engine(64, self.customer.memory);
-        let view = AdmissionContext { engine: &spec, read_at: now, gateways: 1 };
+        let context = AdmissionContext { engine: &spec, read_at: now, gateways: 1 };
         let rng = &mut self.rng;
         let none = |_: &ServerId| EngineLoad::default();
         let advice =
-            self.engines.decide(now, ticket, &view, self.servers.iter(), none, || rng.random());
+            self.engines.decide(now, ticket, &context, self.servers.iter(), none, || rng.random());
         self.engines.leave(ticket);
         let AdmissionDecision::Ask(id) = advice else {
             self.outcome.refused += u32::from(counts);
--- a/crates/router/tests/prefill.rs
+++ b/crates/router/tests/prefill.rs
@@ -30,10 +30,10 @@
         true => EngineLoad { unread: queued, reads: 1, ..EngineLoad::default() },
         false => EngineLoad::default(),
     };
-    let paces = SpeedFactors::default();
+    let speed_factors = SpeedFactors::default();
     let reading = PrefillSpeed::default();
     let choice = ChoiceContext {
-        speed_factors: &paces,
+        speed_factors: &speed_factors,
         prefill_speed: &reading,
         prompt: 3_200,
         zone: "z0",
--- a/crates/router/tests/pulls.rs
+++ b/crates/router/tests/pulls.rs
@@ -16,43 +16,43 @@
 
 #[test]
 fn lists_are_fetched_while_a_configuration_is_being_fetched() {
-    let mut pulls = Fetches::default();
-    assert!(pulls.begin(at(0), FetchKind::Config, peer(1)));
-    assert!(pulls.begin(at(1), FetchKind::Lists, peer(1)));
-    pulls.end(at(5), FetchKind::Lists, true);
-    assert!(pulls.begin(at(300), FetchKind::Lists, peer(1)));
+    let mut fetches = Fetches::default();
+    assert!(fetches.begin(at(0), FetchKind::Config, peer(1)));
+    assert!(fetches.begin(at(1), FetchKind::Lists, peer(1)));
+    fetches.end(at(5), FetchKind::Lists, true);
+    assert!(fetches.begin(at(300), FetchKind::Lists, peer(1)));
 }
 
 #[test]
 fn a_configuration_comes_from_one_peer_at_a_time() {
-    let mut pulls = Fetches::default();
-    assert!(pulls.begin(at(0), FetchKind::Config, peer(1)));
+    let mut fetches = Fetches::default();
+    assert!(fetches.begin(at(0), FetchKind::Config, peer(1)));
     for n in 2..10 {
-        assert!(!pulls.begin(at(2_000), FetchKind::Config, peer(n)));
+        assert!(!fetches.begin(at(2_000), FetchKind::Config, peer(n)));
     }
-    pulls.end(at(2_500), FetchKind::Config, true);
-    assert!(pulls.begin(at(2_501), FetchKind::Config, peer(2)));
+    fetches.end(at(2_500), FetchKind::Config, true);
+    assert!(fetches.begin(at(2_501), FetchKind::Config, peer(2)));
 }
 
 #[test]
 fn a_peer_is_asked_again_after_a_while() {
-    let mut pulls = Fetches::default();
-    assert!(pulls.begin(at(0), FetchKind::Lists, peer(1)));
-    pulls.end(at(5), FetchKind::Lists, true);
-    assert!(!pulls.begin(at(100), FetchKind::Lists, peer(1)));
-    assert!(pulls.begin(at(100), FetchKind::Lists, peer(2)));
-    pulls.end(at(105), FetchKind::Lists, true);
-    assert!(pulls.begin(at(151), FetchKind::Lists, peer(1)));
+    let mut fetches = Fetches::default();
+    assert!(fetches.begin(at(0), FetchKind::Lists, peer(1)));
+    fetches.end(at(5), FetchKind::Lists, true);
+    assert!(!fetches.begin(at(100), FetchKind::Lists, peer(1)));
+    assert!(fetches.begin(at(100), FetchKind::Lists, peer(2)));
+    fetches.end(at(105), FetchKind::Lists, true);
+    assert!(fetches.begin(at(151), FetchKind::Lists, peer(1)));
 }
 
 /// After a peer had nothing newer another one is asked, but not dozens within a moment.
 #[test]
 fn a_peer_with_nothing_newer_is_followed_by_a_backoff() {
-    let mut pulls = Fetches::default();
-    assert!(pulls.begin(at(0), FetchKind::Config, peer(1)));
-    pulls.end(at(2), FetchKind::Config, false);
-    assert!(!pulls.begin(at(10), FetchKind::Config, peer(2)));
-    assert!(pulls.begin(at(52), FetchKind::Config, peer(2)));
+    let mut fetches = Fetches::default();
+    assert!(fetches.begin(at(0), FetchKind::Config, peer(1)));
+    fetches.end(at(2), FetchKind::Config, false);
+    assert!(!fetches.begin(at(10), FetchKind::Config, peer(2)));
+    assert!(fetches.begin(at(52), FetchKind::Config, peer(2)));
 }
 
 #[test]
@@ -72,17 +72,17 @@
 /// A gateway that reaches the store waits half a second for its own update, not until a watch ends.
 #[test]
 fn a_gateway_that_stays_behind_its_peers_fetches_from_them() {
-    let mut pulls = Fetches::default();
+    let mut fetches = Fetches::default();
     let own = Versions { config: 3, roster: 40, fleet: 7 };
     let theirs = Versions { roster: 41, ..own };
-    assert!(!pulls.is_behind(at(0), own, own));
-    assert!(!pulls.is_behind(at(1_000), own, theirs));
-    assert!(!pulls.is_behind(at(1_200), own, own), "another peer has nothing newer");
+    assert!(!fetches.is_behind(at(0), own, own));
+    assert!(!fetches.is_behind(at(1_000), own, theirs));
+    assert!(!fetches.is_behind(at(1_200), own, own), "another peer has nothing newer");
     let own = Versions { config: 4, ..own };
-    assert!(!pulls.is_behind(at(1_499), own, theirs));
-    assert!(pulls.is_behind(at(1_500), own, theirs));
-    assert!(!pulls.is_behind(at(1_510), theirs, theirs), "it is up to date");
+    assert!(!fetches.is_behind(at(1_499), own, theirs));
+    assert!(fetches.is_behind(at(1_500), own, theirs));
+    assert!(!fetches.is_behind(at(1_510), theirs, theirs), "it is up to date");
     let newer = Versions { roster: 42, ..own };
-    assert!(!pulls.is_behind(at(1_600), theirs, newer));
-    assert!(pulls.is_behind(at(2_100), theirs, newer));
+    assert!(!fetches.is_behind(at(1_600), theirs, newer));
+    assert!(fetches.is_behind(at(2_100), theirs, newer));
 }
--- a/crates/router/tests/quota.rs
+++ b/crates/router/tests/quota.rs
@@ -185,11 +185,11 @@
     list.get_mut("front-0").expect("front-0 is in the list").power = 700;
     let mut fleet = Fleet::default();
     fleet.replace(at(0), list, 1);
-    let mut homes = Owners::default();
-    let ranked = |n: usize, homes: &mut Owners| {
-        homes.ranked(&fleet, &LimitKey::account(&format!("account-{n}")))[0].clone()
+    let mut owners = Owners::default();
+    let ranked = |n: usize, owners: &mut Owners| {
+        owners.ranked(&fleet, &LimitKey::account(&format!("account-{n}")))[0].clone()
     };
-    let strong = (0..2_000).filter(|n| ranked(*n, &mut homes) == "front-0").count();
+    let strong = (0..2_000).filter(|n| ranked(*n, &mut owners) == "front-0").count();
     assert!((850..1_150).contains(&strong), "{strong}");
 }
 
--- a/crates/router/tests/roster.rs
+++ b/crates/router/tests/roster.rs
@@ -50,168 +50,168 @@
     Change { name: name(n), entry: Registration::Server(server), revision }
 }
 
-fn ready(roster: &ServerRegistry) -> usize {
-    roster.ready("llm").count()
+fn ready(registry: &ServerRegistry) -> usize {
+    registry.ready("llm").count()
 }
 
 /// A server's own announcement outranks the store, which may be unreachable or behind.
 #[test]
 fn a_server_that_announced_leaving_gets_no_requests_whatever_the_store_says() {
-    let mut roster = ServerRegistry::default();
-    roster.apply(registered(1, 5), true);
-    roster.apply(registered(2, 6), true);
-    assert!(roster.on_leaving(&id(1)));
-    assert!(!roster.on_leaving(&id(1)), "already known");
-    assert_eq!(ready(&roster), 1);
-    assert!(roster.has_left(&name(1)));
-    assert_eq!(roster.announced_leaving().collect::<Vec<_>>(), [&id(1)]);
+    let mut registry = ServerRegistry::default();
+    registry.apply(registered(1, 5), true);
+    registry.apply(registered(2, 6), true);
+    assert!(registry.on_leaving(&id(1)));
+    assert!(!registry.on_leaving(&id(1)), "already known");
+    assert_eq!(ready(&registry), 1);
+    assert!(registry.has_left(&name(1)));
+    assert_eq!(registry.announced_leaving().collect::<Vec<_>>(), [&id(1)]);
     // An older heartbeat, and a complete list.
-    roster.apply(registered(1, 7), true);
-    roster.replace(vec![registered(1, 8), registered(2, 8)], 9, true);
-    assert_eq!(ready(&roster), 1);
-    roster.apply(leaving(1, 10), true);
-    assert_eq!(roster.announced_leaving().count(), 0, "the store reports it too");
-    assert_eq!(ready(&roster), 1);
+    registry.apply(registered(1, 7), true);
+    registry.replace(vec![registered(1, 8), registered(2, 8)], 9, true);
+    assert_eq!(ready(&registry), 1);
+    registry.apply(leaving(1, 10), true);
+    assert_eq!(registry.announced_leaving().count(), 0, "the store reports it too");
+    assert_eq!(ready(&registry), 1);
 }
 
 #[test]
 fn an_announcement_ends_with_its_incarnation() {
-    let mut roster = ServerRegistry::default();
-    roster.apply(registered(1, 5), true);
-    roster.on_leaving(&id(1));
-    roster.apply(restarted(1, 6), true);
-    assert_eq!(ready(&roster), 1);
-    assert!(!roster.has_left(&name(1)));
+    let mut registry = ServerRegistry::default();
+    registry.apply(registered(1, 5), true);
+    registry.on_leaving(&id(1));
+    registry.apply(restarted(1, 6), true);
+    assert_eq!(ready(&registry), 1);
+    assert!(!registry.has_left(&name(1)));
     // The announcement of the old incarnation arrives late, from a peer.
-    roster.on_leaving(&id(1));
-    assert_eq!(ready(&roster), 1);
-    roster.apply(removed(1, 7), true);
-    assert!(!roster.on_leaving(&id(1)), "the server is known to be gone");
+    registry.on_leaving(&id(1));
+    assert_eq!(ready(&registry), 1);
+    registry.apply(removed(1, 7), true);
+    assert!(!registry.on_leaving(&id(1)), "the server is known to be gone");
 }
 
 /// A peer may report that a server is leaving before the store reports the server.
 #[test]
 fn an_announcement_may_come_before_the_registration() {
-    let mut roster = ServerRegistry::default();
-    assert!(roster.on_leaving(&id(1)));
-    assert!(roster.has_left(&name(1)));
-    assert_eq!(roster.announced_leaving().count(), 0);
-    roster.apply(registered(1, 5), true);
-    assert_eq!(ready(&roster), 0);
+    let mut registry = ServerRegistry::default();
+    assert!(registry.on_leaving(&id(1)));
+    assert!(registry.has_left(&name(1)));
+    assert_eq!(registry.announced_leaving().count(), 0);
+    registry.apply(registered(1, 5), true);
+    assert_eq!(ready(&registry), 0);
     for n in 10..10_000 {
-        roster.on_leaving(&id(n));
+        registry.on_leaving(&id(n));
     }
-    assert!(roster.has_left(&name(1)), "kept for a registered server");
+    assert!(registry.has_left(&name(1)), "kept for a registered server");
 }
 
 #[test]
 fn a_leaving_server_gets_no_requests_at_once() {
-    let mut roster = ServerRegistry::default();
-    assert_eq!(roster.apply(registered(1, 5), true), Effect::Joined);
-    assert_eq!(roster.apply(leaving(1, 6), false), Effect::Leaving);
-    assert_eq!(ready(&roster), 0);
+    let mut registry = ServerRegistry::default();
+    assert_eq!(registry.apply(registered(1, 5), true), Effect::Joined);
+    assert_eq!(registry.apply(leaving(1, 6), false), Effect::Leaving);
+    assert_eq!(ready(&registry), 0);
 }
 
 /// This is checked just before a request that has waited is sent; an unknown server may be new
 /// elsewhere.
 #[test]
 fn servers_that_left_are_known_by_name() {
-    let mut roster = ServerRegistry::default();
-    roster.replace(vec![registered(1, 1), leaving(2, 2), registered(3, 3)], 3, true);
-    roster.apply(removed(3, 4), true);
-    let left: Vec<bool> = (1..=4).map(|n| roster.has_left(&name(n))).collect();
+    let mut registry = ServerRegistry::default();
+    registry.replace(vec![registered(1, 1), leaving(2, 2), registered(3, 3)], 3, true);
+    registry.apply(removed(3, 4), true);
+    let left: Vec<bool> = (1..=4).map(|n| registry.has_left(&name(n))).collect();
     assert_eq!(left, [false, true, true, false]);
-    roster.apply(registered(3, 5), true);
-    assert!(!roster.has_left(&name(3)));
+    registry.apply(registered(3, 5), true);
+    assert!(!registry.has_left(&name(3)));
 }
 
 #[test]
 fn an_older_revision_is_ignored() {
-    let mut roster = ServerRegistry::default();
-    roster.apply(leaving(1, 6), true);
-    assert_eq!(roster.apply(registered(1, 5), true), Effect::Stale);
-    assert_eq!(ready(&roster), 0);
-    roster.apply(removed(1, 7), true);
-    assert_eq!(roster.apply(registered(1, 6), true), Effect::Stale);
-    assert!(roster.is_empty());
+    let mut registry = ServerRegistry::default();
+    registry.apply(leaving(1, 6), true);
+    assert_eq!(registry.apply(registered(1, 5), true), Effect::Stale);
+    assert_eq!(ready(&registry), 0);
+    registry.apply(removed(1, 7), true);
+    assert_eq!(registry.apply(registered(1, 6), true), Effect::Stale);
+    assert!(registry.is_empty());
 }
 
 #[test]
 fn a_server_that_vanishes_in_a_store_outage_is_kept_until_the_store_is_trusted() {
-    let mut roster = ServerRegistry::default();
-    roster.replace(vec![registered(1, 1), registered(2, 2)], 2, true);
-    assert_eq!(roster.apply(removed(1, 3), false), Effect::Unheard);
-    assert_eq!(ready(&roster), 2);
+    let mut registry = ServerRegistry::default();
+    registry.replace(vec![registered(1, 1), registered(2, 2)], 2, true);
+    assert_eq!(registry.apply(removed(1, 3), false), Effect::Unheard);
+    assert_eq!(ready(&registry), 2);
     // One server registers again, the other does not.
-    roster.apply(removed(2, 4), false);
-    assert_eq!(roster.apply(registered(2, 5), false), Effect::Changed);
-    assert_eq!(roster.remove_missing(), vec![name(1)]);
-    assert_eq!(ready(&roster), 1);
+    registry.apply(removed(2, 4), false);
+    assert_eq!(registry.apply(registered(2, 5), false), Effect::Changed);
+    assert_eq!(registry.remove_missing(), vec![name(1)]);
+    assert_eq!(ready(&registry), 1);
 }
 
 #[test]
 fn a_leaving_server_is_removed_even_in_a_store_outage() {
-    let mut roster = ServerRegistry::default();
-    roster.apply(leaving(1, 1), true);
-    assert_eq!(roster.apply(removed(1, 2), false), Effect::Gone);
+    let mut registry = ServerRegistry::default();
+    registry.apply(leaving(1, 1), true);
+    assert_eq!(registry.apply(removed(1, 2), false), Effect::Gone);
 }
 
 #[test]
 fn a_new_list_removes_servers_that_are_not_in_it() {
-    let mut roster = ServerRegistry::default();
-    roster.replace(vec![registered(1, 1), registered(2, 2)], 2, true);
-    let effects = roster.replace(vec![registered(2, 2), registered(3, 9)], 10, true);
+    let mut registry = ServerRegistry::default();
+    registry.replace(vec![registered(1, 1), registered(2, 2)], 2, true);
+    let effects = registry.replace(vec![registered(2, 2), registered(3, 9)], 10, true);
     assert!(effects.contains(&(name(1), Effect::Gone)));
     assert!(effects.contains(&(name(3), Effect::Joined)));
-    assert_eq!(ready(&roster), 2);
+    assert_eq!(ready(&registry), 2);
 }
 
 #[test]
 fn a_list_does_not_remove_servers_that_registered_after_it() {
-    let mut roster = ServerRegistry::default();
-    roster.apply(registered(7, 20), true);
-    roster.replace(vec![registered(1, 1)], 10, true);
-    assert_eq!(ready(&roster), 2);
+    let mut registry = ServerRegistry::default();
+    registry.apply(registered(7, 20), true);
+    registry.replace(vec![registered(1, 1)], 10, true);
+    assert_eq!(ready(&registry), 2);
 }
 
 #[test]
 fn a_new_incarnation_at_the_address_replaces_the_old_one() {
-    let mut roster = ServerRegistry::default();
-    roster.apply(registered(1, 1), true);
-    assert!(roster.replaced(&id(1)));
-    assert_eq!(roster.apply(registered(1, 1), true), Effect::Stale);
-    assert!(roster.is_empty());
+    let mut registry = ServerRegistry::default();
+    registry.apply(registered(1, 1), true);
+    assert!(registry.replaced(&id(1)));
+    assert_eq!(registry.apply(registered(1, 1), true), Effect::Stale);
+    assert!(registry.is_empty());
 }
 
 #[test]
 fn a_new_incarnation_under_a_name_is_another_server() {
-    let mut roster = ServerRegistry::default();
-    roster.apply(registered(1, 1), true);
-    assert_eq!(roster.apply(restarted(1, 2), true), Effect::Reborn);
-    assert_eq!(roster.get(&id(1)), None);
-    assert!(roster.get(&ServerId::new(name(1), 9)).is_some());
+    let mut registry = ServerRegistry::default();
+    registry.apply(registered(1, 1), true);
+    assert_eq!(registry.apply(restarted(1, 2), true), Effect::Reborn);
+    assert_eq!(registry.get(&id(1)), None);
+    assert!(registry.get(&ServerId::new(name(1), 9)).is_some());
     // A change of the old incarnation, and an answer meant for it, have no effect.
-    assert_eq!(roster.apply(registered(1, 1), true), Effect::Stale);
-    assert!(!roster.replaced(&id(1)));
-    assert_eq!(ready(&roster), 1);
+    assert_eq!(registry.apply(registered(1, 1), true), Effect::Stale);
+    assert!(!registry.replaced(&id(1)));
+    assert_eq!(ready(&registry), 1);
 }
 
 #[test]
 fn an_invalid_entry_does_not_affect_the_others() {
-    let mut roster = ServerRegistry::default();
-    roster.replace(vec![registered(1, 1), wrong(2, 2), registered(3, 3)], 3, true);
-    assert_eq!(ready(&roster), 2);
+    let mut registry = ServerRegistry::default();
+    registry.replace(vec![registered(1, 1), wrong(2, 2), registered(3, 3)], 3, true);
+    assert_eq!(ready(&registry), 2);
     // A valid entry becomes invalid while the store is not trusted, and valid again.
-    assert_eq!(roster.apply(wrong(1, 4), false), Effect::Wrong);
-    assert_eq!(ready(&roster), 1);
-    assert!(roster.remove_missing().is_empty());
-    assert_eq!(roster.apply(registered(1, 5), true), Effect::Joined);
-    roster.replace(vec![registered(1, 5), wrong(3, 6)], 6, false);
-    assert_eq!(ready(&roster), 1);
+    assert_eq!(registry.apply(wrong(1, 4), false), Effect::Wrong);
+    assert_eq!(ready(&registry), 1);
+    assert!(registry.remove_missing().is_empty());
+    assert_eq!(registry.apply(registered(1, 5), true), Effect::Joined);
+    registry.replace(vec![registered(1, 5), wrong(3, 6)], 6, false);
+    assert_eq!(ready(&registry), 1);
     // A gateway passes on what it uses, so the invalid entries are left out.
     let mut peer = ServerRegistry::default();
     peer.replace(vec![registered(1, 5), registered(3, 3)], 3, true);
-    peer.replace(roster.changes(), roster.revision(), true);
+    peer.replace(registry.changes(), registry.revision(), true);
     assert_eq!(ready(&peer), 1);
 }
 
@@ -248,11 +248,11 @@
                 _ => removed(n, r),
             }
         };
-        let mut roster = ServerRegistry::default();
+        let mut registry = ServerRegistry::default();
         for r in order {
-            roster.apply(change(r), true);
+            registry.apply(change(r), true);
             if repeats[r as usize] {
-                roster.apply(change(r), true);
+                registry.apply(change(r), true);
             }
         }
         for n in 0..4_u32 {
@@ -261,7 +261,7 @@
                 Registration::Server(server) => Some(server),
                 Registration::Removed | Registration::Wrong => None,
             };
-            prop_assert_eq!(roster.named(&name(n)).cloned(), want);
+            prop_assert_eq!(registry.named(&name(n)).cloned(), want);
         }
     }
 }
@@ -270,47 +270,47 @@
 /// registry.
 #[test]
 fn changes_since_a_revision_bring_another_gateway_up_to_date() {
-    let mut roster = ServerRegistry::default();
-    roster.replace(vec![registered(1, 1), registered(2, 2), registered(3, 3)], 3, true);
+    let mut registry = ServerRegistry::default();
+    registry.replace(vec![registered(1, 1), registered(2, 2), registered(3, 3)], 3, true);
     let mut peer = ServerRegistry::default();
-    assert_eq!(roster.since(0), None, "a gateway without a list takes the complete one");
-    peer.replace(roster.changes(), roster.revision(), true);
-    roster.apply(removed(1, 4), true);
-    roster.apply(leaving(2, 5), true);
-    roster.apply(registered(4, 6), true);
-    roster.apply(wrong(3, 7), true);
-    let changes = roster.since(3).expect("removals are remembered");
+    assert_eq!(registry.since(0), None, "a gateway without a list takes the complete one");
+    peer.replace(registry.changes(), registry.revision(), true);
+    registry.apply(removed(1, 4), true);
+    registry.apply(leaving(2, 5), true);
+    registry.apply(registered(4, 6), true);
+    registry.apply(wrong(3, 7), true);
+    let changes = registry.since(3).expect("removals are remembered");
     assert_eq!(changes.len(), 4);
-    peer.catch_up(changes, roster.revision(), true);
-    assert_eq!(peer.changes(), roster.changes());
+    peer.catch_up(changes, registry.revision(), true);
+    assert_eq!(peer.changes(), registry.changes());
     assert_eq!(peer.revision(), 7);
-    assert_eq!(roster.since(7), Some(Vec::new()));
+    assert_eq!(registry.since(7), Some(Vec::new()));
 }
 
 /// A list that is read page by page may have entries newer than its revision. The changes in
 /// between are still to come, so they must not be reported as known.
 #[test]
 fn a_list_is_known_up_to_its_own_revision_only() {
-    let mut roster = ServerRegistry::default();
-    roster.replace(vec![registered(1, 1), registered(2, 9)], 5, true);
-    assert_eq!(roster.revision(), 5);
-    roster.apply(removed(1, 7), true);
-    assert_eq!(roster.since(5).expect("remembered").len(), 2);
+    let mut registry = ServerRegistry::default();
+    registry.replace(vec![registered(1, 1), registered(2, 9)], 5, true);
+    assert_eq!(registry.revision(), 5);
+    registry.apply(removed(1, 7), true);
+    assert_eq!(registry.since(5).expect("remembered").len(), 2);
 }
 
 /// A registration that vanished while the store was unreachable is passed on as removed; each
 /// gateway decides for itself whether the server is gone.
 #[test]
 fn a_server_that_vanished_in_a_store_outage_is_passed_on_as_removed() {
-    let mut roster = ServerRegistry::default();
-    roster.replace(vec![registered(1, 1), registered(2, 2)], 2, true);
+    let mut registry = ServerRegistry::default();
+    registry.replace(vec![registered(1, 1), registered(2, 2)], 2, true);
     let mut peer = ServerRegistry::default();
-    peer.replace(roster.changes(), 2, true);
-    assert_eq!(roster.apply(removed(1, 3), false), Effect::Unheard);
-    peer.catch_up(roster.since(2).expect("remembered"), 3, false);
+    peer.replace(registry.changes(), 2, true);
+    assert_eq!(registry.apply(removed(1, 3), false), Effect::Unheard);
+    peer.catch_up(registry.since(2).expect("remembered"), 3, false);
     assert_eq!(ready(&peer), 2);
-    roster.apply(registered(1, 4), true);
-    peer.catch_up(roster.since(3).expect("remembered"), 4, true);
+    registry.apply(registered(1, 4), true);
+    peer.catch_up(registry.since(3).expect("remembered"), 4, true);
     assert!(peer.remove_missing().is_empty());
     assert_eq!(ready(&peer), 2);
 }
--- a/crates/router/tests/share.rs
+++ b/crates/router/tests/share.rs
@@ -34,44 +34,44 @@
 
 #[test]
 fn the_load_of_all_peers_is_summed() {
-    let mut shares = LoadReports::default();
-    assert!(shares.on_report(NOW, share("a", 1, 1, 100)));
-    assert!(shares.on_report(NOW, share("b", 1, 1, 30)));
+    let mut load_reports = LoadReports::default();
+    assert!(load_reports.on_report(NOW, share("a", 1, 1, 100)));
+    assert!(load_reports.on_report(NOW, share("b", 1, 1, 30)));
     assert_eq!(
-        shares.peer_load(NOW, &id()),
+        load_reports.peer_load(NOW, &id()),
         EngineLoad { memory: MemoryForecast::constant(130), count: 2, ..EngineLoad::default() }
     );
-    assert_eq!(shares.live(NOW), 2);
+    assert_eq!(load_reports.live(NOW), 2);
 }
 
 #[test]
 fn an_outdated_datagram_is_ignored() {
-    let mut shares = LoadReports::default();
-    shares.on_report(NOW, share("a", 1, 5, 100));
-    assert!(!shares.on_report(NOW, share("a", 1, 4, 999)));
-    assert!(!shares.on_report(NOW, share("a", 1, 5, 999)));
-    assert_eq!(shares.peer_load(NOW, &id()).memory.now(), 100);
-    assert!(shares.on_report(NOW, share("a", 2, 1, 7)), "a new incarnation starts over");
-    assert_eq!(shares.peer_load(NOW, &id()).memory.now(), 7);
+    let mut load_reports = LoadReports::default();
+    load_reports.on_report(NOW, share("a", 1, 5, 100));
+    assert!(!load_reports.on_report(NOW, share("a", 1, 4, 999)));
+    assert!(!load_reports.on_report(NOW, share("a", 1, 5, 999)));
+    assert_eq!(load_reports.peer_load(NOW, &id()).memory.now(), 100);
+    assert!(load_reports.on_report(NOW, share("a", 2, 1, 7)), "a new incarnation starts over");
+    assert_eq!(load_reports.peer_load(NOW, &id()).memory.now(), 7);
 }
 
 #[test]
 fn the_load_of_a_silent_peer_is_dropped() {
-    let mut shares = LoadReports::default();
-    shares.on_report(NOW, share("a", 1, 1, 100));
-    assert_eq!(shares.peer_load(NOW.after(LOAD_TIMEOUT), &id()).memory.now(), 0);
+    let mut load_reports = LoadReports::default();
+    load_reports.on_report(NOW, share("a", 1, 1, 100));
+    assert_eq!(load_reports.peer_load(NOW.after(LOAD_TIMEOUT), &id()).memory.now(), 0);
 }
 
 /// With hundreds of gateways a round takes seconds: their load must not be dropped in between.
 #[test]
 fn a_load_report_outlives_the_rounds_of_a_large_fleet() {
-    let mut shares = LoadReports::default();
+    let mut load_reports = LoadReports::default();
     for n in 0..410 {
-        shares.on_report(NOW, share(&format!("e{n}"), 1, 1, 10));
+        load_reports.on_report(NOW, share(&format!("e{n}"), 1, 1, 10));
     }
     let later = NOW.after(report_interval(410) * 2);
-    assert_eq!(shares.peer_load(later, &id()).memory.now(), 4_100);
-    assert_eq!(shares.live(later), 410);
+    assert_eq!(load_reports.peer_load(later, &id()).memory.now(), 4_100);
+    assert_eq!(load_reports.live(later), 410);
 }
 
 #[test]
--- a/crates/router/tests/stages.rs
+++ b/crates/router/tests/stages.rs
@@ -42,8 +42,8 @@
     let engine = engine(64, 103_424);
     let rate = 55_556.0;
     let groups = [servers];
-    let view = PlanContext { service: "llm", groups: &groups, engine: &engine, shape, rate };
-    planner.next(at, &view).map(|(_, stage)| stage)
+    let context = PlanContext { service: "llm", groups: &groups, engine: &engine, shape, rate };
+    planner.next(at, &context).map(|(_, stage)| stage)
 }
 
 #[test]
@@ -88,8 +88,9 @@
     let engine = engine(64, 103_424);
     let rate = 1e6;
     let groups = [servers];
-    let view = PlanContext { service: "llm", groups: &groups, engine: &engine, shape: None, rate };
-    let (id, stage) = Planner::default().next(NOW, &view).expect("a planned change");
+    let context =
+        PlanContext { service: "llm", groups: &groups, engine: &engine, shape: None, rate };
+    let (id, stage) = Planner::default().next(NOW, &context).expect("a planned change");
     assert_eq!(stage, Stage::Decode);
     let picked = all.iter().find(|s| s.id == id).expect("the engine is listed");
     assert_eq!(picked.zone, "z0");
@@ -113,13 +114,13 @@
         shape.observe_token(0.004_3);
     }
     let (engine, rate) = (engine(12, 27_077), 33_333.0);
-    let view =
+    let context =
         PlanContext { service: "llm", groups: &groups, engine: &engine, shape: Some(shape), rate };
     let mut planner = Planner::default();
     let mut changes_made = Vec::new();
     for round in 0..20 {
         let at = NOW.after(CHANGE_DELAY * round);
-        if let Some((id, stage)) = planner.next(at, &view) {
+        if let Some((id, stage)) = planner.next(at, &context) {
             planner.on_ordered(NOW.after(CHANGE_DELAY * 100), &id, stage, &engine);
             let zone = all.iter().find(|s| s.id == id).expect("the engine is listed").zone.clone();
             changes_made.push((zone, stage));
--- a/crates/router/tests/zones.rs
+++ b/crates/router/tests/zones.rs
@@ -14,7 +14,7 @@
 const NOW: Timestamp = Timestamp::from_millis(100_000);
 const SOON: Duration = Duration::from_millis(500);
 
-fn digest(zone: &str, seq: u64, free: u32, read: u32) -> ZoneSummary {
+fn summary(zone: &str, seq: u64, free: u32, read: u32) -> ZoneSummary {
     ZoneSummary {
         name: format!("front-{zone}-1"),
         zone: zone.into(),
@@ -37,32 +37,32 @@
 /// Until the ranks are known, all gateways of a zone send summaries.
 #[test]
 fn one_summary_of_each_zone_is_relayed_however_many_gateways_send() {
-    let mut digests = ZoneSummaries::default();
+    let mut summaries = ZoneSummaries::default();
     for n in 0..222 {
         let name = format!("front-siracusa-ortigia-{n}");
         let now = NOW.after(Duration::from_millis(n));
-        digests.on_summary(
+        summaries.on_summary(
             now,
-            ZoneSummary { name, ..digest(["b", "c", "d"][n as usize % 3], 1, 500, 90) },
+            ZoneSummary { name, ..summary(["b", "c", "d"][n as usize % 3], 1, 500, 90) },
         );
     }
     let now = NOW.after(SOON);
-    let relayed: Vec<ZoneSummary> = digests.relayed(now).cloned().collect();
+    let relayed: Vec<ZoneSummary> = summaries.relayed(now).cloned().collect();
     let zones: Vec<&str> = relayed.iter().map(|d| d.zone.as_str()).collect();
     assert_eq!(zones, ["b", "c", "d"]);
     assert!(relayed.iter().all(|d| d.name.ends_with(|c: char| c.is_ascii_digit()) && d.seq == 1));
     // The latest summaries.
     assert_eq!(relayed[0].name, "front-siracusa-ortigia-219");
-    assert_eq!(digests.relayed(now.after(SUMMARY_LIFETIME)).count(), 0);
+    assert_eq!(summaries.relayed(now.after(SUMMARY_LIFETIME)).count(), 0);
 }
 
 fn overflow_zone(
-    digests: &ZoneSummaries,
+    summaries: &ZoneSummaries,
     now: Timestamp,
     tried: &[String],
     draw: f64,
 ) -> Option<String> {
-    digests.overflow_target(now, "llm", SOON, tried, draw).map(|d| d.zone.clone())
+    summaries.overflow_target(now, "llm", SOON, tried, draw).map(|d| d.zone.clone())
 }
 
 fn fleet(gateways: usize) -> Fleet {
@@ -104,30 +104,30 @@
 
 #[test]
 fn a_zone_with_free_memory_and_a_prefill_engine_is_asked() {
-    let mut digests = ZoneSummaries::default();
-    assert_eq!(overflow_zone(&digests, NOW, &[], 0.5), None);
-    digests.on_summary(NOW, digest("full", 1, 50, 0));
-    digests.on_summary(NOW, digest("late", 1, 500, 501));
-    assert_eq!(overflow_zone(&digests, NOW, &[], 0.5), None);
-    let mut pieces = digest("pieces", 1, 500, 0);
+    let mut summaries = ZoneSummaries::default();
+    assert_eq!(overflow_zone(&summaries, NOW, &[], 0.5), None);
+    summaries.on_summary(NOW, summary("full", 1, 50, 0));
+    summaries.on_summary(NOW, summary("late", 1, 500, 501));
+    assert_eq!(overflow_zone(&summaries, NOW, &[], 0.5), None);
+    let mut pieces = summary("pieces", 1, 500, 0);
     pieces.capacities[0].free_slots = 0;
-    digests.on_summary(NOW, pieces);
-    assert_eq!(overflow_zone(&digests, NOW, &[], 0.5), None);
-    digests.on_summary(NOW, digest("good", 1, 500, 499));
-    assert_eq!(overflow_zone(&digests, NOW, &[], 0.5).as_deref(), Some("good"));
-    assert_eq!(overflow_zone(&digests, NOW, &["good".to_owned()], 0.5), None, "already asked");
-    assert_eq!(digests.overflow_target(NOW, "other", SOON, &[], 0.5), None);
+    summaries.on_summary(NOW, pieces);
+    assert_eq!(overflow_zone(&summaries, NOW, &[], 0.5), None);
+    summaries.on_summary(NOW, summary("good", 1, 500, 499));
+    assert_eq!(overflow_zone(&summaries, NOW, &[], 0.5).as_deref(), Some("good"));
+    assert_eq!(overflow_zone(&summaries, NOW, &["good".to_owned()], 0.5), None, "already asked");
+    assert_eq!(summaries.overflow_target(NOW, "other", SOON, &[], 0.5), None);
 }
 
 /// Gateways must not all ask the zone with the most room, because its summary is slightly old.
 #[test]
 fn zones_are_asked_in_proportion_to_their_capacity() {
-    let mut digests = ZoneSummaries::default();
-    digests.on_summary(NOW, digest("a", 1, 300, 0));
-    digests.on_summary(NOW, digest("b", 1, 100, 0));
+    let mut summaries = ZoneSummaries::default();
+    summaries.on_summary(NOW, summary("a", 1, 300, 0));
+    summaries.on_summary(NOW, summary("b", 1, 100, 0));
     let asked = |zone: &str| {
         let draws = (0..1_000).map(|n| f64::from(n) / 1_000.0);
-        draws.filter(|d| overflow_zone(&digests, NOW, &[], *d).as_deref() == Some(zone)).count()
+        draws.filter(|d| overflow_zone(&summaries, NOW, &[], *d).as_deref() == Some(zone)).count()
     };
     assert!((740..=760).contains(&asked("a")), "{}", asked("a"));
     assert_eq!(asked("a") + asked("b"), 1_000);
@@ -136,50 +136,50 @@
 /// Capacity that a summary showed is not asked for again and again.
 #[test]
 fn a_zone_that_granted_nothing_is_not_asked_for_a_while() {
-    let mut digests = ZoneSummaries::default();
-    digests.on_summary(NOW, digest("a", 1, 300, 0));
-    digests.on_refused(NOW, "a");
-    assert_eq!(overflow_zone(&digests, NOW.after(FULL_BACKOFF / 2), &[], 0.5), None);
-    assert!(overflow_zone(&digests, NOW.after(FULL_BACKOFF), &[], 0.5).is_some());
+    let mut summaries = ZoneSummaries::default();
+    summaries.on_summary(NOW, summary("a", 1, 300, 0));
+    summaries.on_refused(NOW, "a");
+    assert_eq!(overflow_zone(&summaries, NOW.after(FULL_BACKOFF / 2), &[], 0.5), None);
+    assert!(overflow_zone(&summaries, NOW.after(FULL_BACKOFF), &[], 0.5).is_some());
 }
 
 #[test]
 fn a_summary_is_valid_for_a_while() {
-    let mut digests = ZoneSummaries::default();
-    assert!(digests.on_summary(NOW, digest("a", 5, 500, 0)));
+    let mut summaries = ZoneSummaries::default();
+    assert!(summaries.on_summary(NOW, summary("a", 5, 500, 0)));
     assert!(
-        !digests.on_summary(NOW.after(SOON), digest("a", 5, 500, 0)),
+        !summaries.on_summary(NOW.after(SOON), summary("a", 5, 500, 0)),
         "relayed by another gateway"
     );
-    assert!(!digests.on_summary(NOW.after(SOON), digest("a", 4, 500, 0)), "outdated");
+    assert!(!summaries.on_summary(NOW.after(SOON), summary("a", 4, 500, 0)), "outdated");
     let later = NOW.after(SUMMARY_LIFETIME);
-    assert_eq!(overflow_zone(&digests, later, &[], 0.5), None);
-    assert!(digests.on_summary(later, digest("a", 6, 500, 0)));
-    assert!(overflow_zone(&digests, later, &[], 0.5).is_some());
+    assert_eq!(overflow_zone(&summaries, later, &[], 0.5), None);
+    assert!(summaries.on_summary(later, summary("a", 6, 500, 0)));
+    assert!(overflow_zone(&summaries, later, &[], 0.5).is_some());
 }
 
 /// The report of one zone leader fits a datagram, with the summaries of the other zones of a large
 /// region.
 #[test]
 fn a_load_report_with_summaries_of_other_zones_fits_a_datagram() {
-    let digests: Vec<ZoneSummary> = (0..7)
+    let summaries: Vec<ZoneSummary> = (0..7)
         .flat_map(|zone| [1, 2].map(|n| (zone, n)))
         .map(|(zone, n)| ZoneSummary {
             name: format!("front-{n}"),
-            ..digest(&format!("zone-{zone}"), 1, 500, 90)
+            ..summary(&format!("zone-{zone}"), 1, 500, 90)
         })
         .collect();
     let mut bytes = Vec::new();
     let share = LoadReport {
         name: "front-zone-8-1".into(),
-        zone_summaries: digests,
+        zone_summaries: summaries,
         ..LoadReport::default()
     };
     ciborium::into_writer(&GossipMessage::Share(share), &mut bytes)
         .expect("a load report is encoded");
     assert!(bytes.len() < 2_500, "{}", bytes.len());
     let mut one = Vec::new();
-    ciborium::into_writer(&GossipMessage::Digest(digest("zone-1", 1, 500, 90)), &mut one)
+    ciborium::into_writer(&GossipMessage::Digest(summary("zone-1", 1, 500, 90)), &mut one)
         .expect("encoded");
     assert!(one.len() < 120, "{}", one.len());
 }
