--- a/crates/daemon/src/gateway/announcements.rs
+++ b/crates/daemon/src/gateway/announcements.rs
@@ -29,11 +29,11 @@
     if !reply.moved {
         limits::on_answer(shared, to, sent, reply.limit);
     }
-    if let Some(pause) = reply.pause.filter(|_| !reply.moved) {
+    if let Some(back_off) = reply.back_off.filter(|_| !reply.moved) {
         let now = shared.now();
-        let (until, as_said) = shared.back_offs.borrow_mut().record(now, to, pause);
+        let (until, as_said) = shared.back_offs.borrow_mut().record(now, to, back_off);
         let ms = until.since(now).as_millis() as u64;
-        tracing::info!(server = %to, ms, ?pause, as_said, "backend server asked for a pause");
+        tracing::info!(server = %to, ms, pause = ?back_off, as_said, "backend server asked for a pause");
         shared.metrics.count("gateway.paused", 1);
     }
 }
@@ -62,15 +62,15 @@
 /// each send.
 pub fn accepts_requests(shared: &Shared, id: &ServerId) -> bool {
     let paused = shared.back_offs.borrow().until(shared.now(), id).is_some();
-    !shared.roster.borrow().has_left(&id.name) && !paused
+    !shared.registry.borrow().has_left(&id.name) && !paused
 }
 
 /// The incarnation that answered: the one addressed, unless the answer names another.
 fn answering_server(shared: &Shared, to: &ServerId, reply: &Reply) -> Option<ServerId> {
     match &reply.instance {
         Some(name) if *name != to.name => {
-            let roster = shared.roster.borrow();
-            Some(roster.named(name).map_or_else(|| ServerId::new(name, 0), |s| s.id.clone()))
+            let registry = shared.registry.borrow();
+            Some(registry.named(name).map_or_else(|| ServerId::new(name, 0), |s| s.id.clone()))
         }
         _ => (!reply.moved).then(|| to.clone()),
     }
@@ -78,7 +78,7 @@
 
 /// Handles the announcement, by an answer or by a peer, that an incarnation of a server is leaving.
 pub fn on_leaving(shared: &Shared, id: &ServerId, from: &str) {
-    if !shared.roster.borrow_mut().on_leaving(id) {
+    if !shared.registry.borrow_mut().on_leaving(id) {
         return;
     }
     let SnapshotVersion { roster, age, .. } = shared.snapshot_version();
--- a/crates/daemon/src/gateway/orders.rs
+++ b/crates/daemon/src/gateway/orders.rs
@@ -63,7 +63,7 @@
 fn is_eligible(shared: &Shared) -> bool {
     shared.role.borrow().follows()
         && shared.config().is_some_and(|c| c.services.iter().any(|s| s.engine.is_some()))
-        && shared.roster.borrow().is_complete()
+        && shared.registry.borrow().is_complete()
 }
 
 async fn acquire(shared: &Shared) -> Result<Option<Leadership>, StoreError> {
@@ -156,8 +156,8 @@
     leadership: &Leadership,
 ) -> Option<(Order, Server)> {
     let config = shared.config()?;
-    let roster = shared.roster.borrow();
-    if shared.now() < roster.changed_at().after(REGISTRY_QUIET) {
+    let registry = shared.registry.borrow();
+    if shared.now() < registry.changed_at().after(REGISTRY_QUIET) {
         return None;
     }
     for service in &config.services {
@@ -166,19 +166,19 @@
         };
         let (shape, rate) = {
             let learned = shared.service_estimates(&service.name);
-            (learned.shape, learned.reading.rate())
+            (learned.shape, learned.prefill_speed.rate())
         };
-        let view = PlanContext {
+        let context = PlanContext {
             service: &service.name,
-            groups: &engine_groups(shared, &roster, &service.name),
+            groups: &engine_groups(shared, &registry, &service.name),
             engine: spec,
             shape: Some(shape).filter(Shape::is_known),
             rate,
         };
-        if let Some((to, stage)) = planner.next(shared.now(), &view) {
-            planner.given(shared.now(), &to, stage, spec);
+        if let Some((to, stage)) = planner.next(shared.now(), &context) {
+            planner.on_ordered(shared.now(), &to, stage, spec);
             shared.changing_engines.replace(planner.changing());
-            let server = roster.get(&to)?.clone();
+            let server = registry.get(&to)?.clone();
             let holder = shared.node().name.clone();
             return Some((Order { to, stage, holder, fence: leadership.fence }, server));
         }
@@ -191,12 +191,12 @@
 /// each zone.
 fn engine_groups<'a>(
     shared: &Shared,
-    roster: &'a ServerRegistry,
+    registry: &'a ServerRegistry,
     service: &'a str,
 ) -> Vec<Vec<&'a Server>> {
     let scope = shared.scope();
     let mut groups: BTreeMap<&str, Vec<&Server>> = BTreeMap::new();
-    for server in roster.ready(service) {
+    for server in registry.ready(service) {
         let group = match scope {
             Scope::All => "",
             Scope::Zone => server.zone.as_str(),
@@ -209,7 +209,7 @@
 async fn send(shared: &Shared, order: Order, server: Server, planner: &mut Planner) {
     let req = engine::change_stage(&order);
     if !limits::acquire(shared, &server.id, 1).await {
-        planner.refused(&order.to);
+        planner.on_refused(&order.to);
         return;
     }
     let reply = announcements::call(shared, &server, req, ORDER_TIMEOUT).await;
@@ -221,7 +221,7 @@
                 server = %to, ?stage, fence = order.fence, word = ?result, "order answered"
             );
             if matches!(result, OrderReply::Busy | OrderReply::Failed(_) | OrderReply::Moved) {
-                planner.refused(to);
+                planner.on_refused(to);
             }
         }
         // The engine may still carry the order out; the server registry will show it.
--- a/crates/daemon/src/gateway/send.rs
+++ b/crates/daemon/src/gateway/send.rs
@@ -65,9 +65,9 @@
         shared.pool.put_back(conn);
         return Err(AttemptOutcome::Unsent);
     }
-    if quarantine::is_confirmed(shared, &intake.content) {
+    if quarantine::is_confirmed(shared, &intake.digest) {
         tracing::info!(
-            id = intake.id(), content = %intake.content, server = %to.id,
+            id = intake.id(), content = %intake.digest, server = %to.id,
             "not sent: confirmed to crash servers"
         );
         shared.pool.put_back(conn);
@@ -126,7 +126,7 @@
     let attempt = async {
         let head = head(shared, intake, to, req, expect).await?;
         let Head { mut reply, response, conn } = head;
-        reply.stamped |= expect == Expect::Handle;
+        reply.signed |= expect == Expect::Handle;
         let outcome = AttemptOutcome::from_reply(&reply, intake.caller.attempt.as_deref());
         let (status, headers) =
             (response.status(), headers::forwarded_to_caller(response.headers()));
--- a/crates/daemon/src/gateway/shared.rs
+++ b/crates/daemon/src/gateway/shared.rs
@@ -79,7 +79,7 @@
     /// The newest configuration received.
     pub config: RefCell<Option<Rc<Config>>>,
     /// The server registry: all known backend servers.
-    pub roster: RefCell<ServerRegistry>,
+    pub registry: RefCell<ServerRegistry>,
     /// When the configuration was last known to be the newest.
     pub config_staleness: RefCell<ConfigStaleness>,
     /// True if the store's newest configuration could not be decoded.
@@ -188,7 +188,7 @@
             pool,
             store,
             config: RefCell::default(),
-            roster: RefCell::default(),
+            registry: RefCell::default(),
             config_staleness: RefCell::default(),
             config_unreadable: Cell::default(),
             quota_owners: RefCell::default(),
@@ -287,7 +287,9 @@
 
     /// True if requests of callers can be served.
     pub fn is_ready(&self) -> bool {
-        !self.is_stopping() && self.config.borrow().is_some() && self.roster.borrow().is_complete()
+        !self.is_stopping()
+            && self.config.borrow().is_some()
+            && self.registry.borrow().is_complete()
     }
 
     /// True once the process was told to stop.
@@ -339,10 +341,10 @@
         let Some(config) = self.config() else {
             return;
         };
-        let roster = self.roster.borrow();
+        let registry = self.registry.borrow();
         let memory = config.services.iter().filter_map(|service| {
             let tokens = service.engine.as_ref()?.tokens;
-            Some(tokens * roster.ready(&service.name).count() as u64)
+            Some(tokens * registry.ready(&service.name).count() as u64)
         });
         self.engine_memory.borrow_mut().observe(self.now(), memory.sum());
     }
@@ -351,16 +353,16 @@
     /// store relies on the store access of those that do.
     pub fn update_role(&self) {
         let (now, node) = (self.now(), self.node());
-        let (fleet, shares) = (self.fleet.borrow(), self.load_reports.borrow());
+        let (fleet, load_reports) = (self.fleet.borrow(), self.load_reports.borrow());
         let reaches_store =
-            |name: &str| matches!(shares.link(now, name), Some(StoreLink::Heard { .. }));
+            |name: &str| matches!(load_reports.link(now, name), Some(StoreLink::Heard { .. }));
         let ahead: Vec<&str> =
             fleet.higher_ranked(&node.name).map_or_else(Vec::new, Iterator::collect);
         let (ahead_count, reaching) =
             (ahead.len(), ahead.iter().filter(|n| reaches_store(n)).count());
         // A gateway without a complete server registry reads it from the store, which is faster
         // than to wait for peers.
-        let reaching = if self.roster.borrow().is_complete() { reaching } else { 0 };
+        let reaching = if self.registry.borrow().is_complete() { reaching } else { 0 };
         let mut role = self.role.borrow_mut();
         let before = role.follows();
         role.update(now, ahead_count, reaching);
@@ -374,8 +376,8 @@
             self.metrics.gauge("gateway.follows", u64::from(role.follows()));
         }
         if !role.follows() {
-            let link = shares.best_link(now);
-            if let Some(at) = shares.known_at(now, self.roster.borrow().revision()) {
+            let link = load_reports.best_link(now);
+            if let Some(at) = load_reports.known_at(now, self.registry.borrow().revision()) {
                 self.store_state.borrow_mut().known(at);
             }
             if self.store_state.borrow_mut().adopt(now, link) {
@@ -394,7 +396,7 @@
 
     /// Load of all gateways, this one included, at an engine.
     pub fn engine_load(&self, id: &ServerId) -> EngineLoad {
-        let peers = self.load_reports.borrow().work(self.now(), id);
+        let peers = self.load_reports.borrow().peer_load(self.now(), id);
         self.engines.borrow().own_load(id).plus(peers)
     }
 
@@ -417,7 +419,7 @@
         let known_at = self.store_state.borrow().known_at();
         SnapshotVersion {
             config: self.config.borrow().as_ref().map_or(0, |c| c.version),
-            roster: self.roster.borrow().revision(),
+            roster: self.registry.borrow().revision(),
             age: self.now().since(known_at).as_millis() as u64,
         }
     }
--- a/crates/router/tests/prefill.rs
+++ b/crates/router/tests/prefill.rs
@@ -30,10 +30,15 @@
         true => EngineLoad { unread: queued, reads: 1, ..EngineLoad::default() },
         false => EngineLoad::default(),
     };
-    let paces = SpeedFactors::default();
+    let speed_factors = SpeedFactors::default();
     let reading = PrefillSpeed::default();
-    let choice =
-        ChoiceContext { paces: &paces, reading: &reading, prompt: 3_200, zone: "z0", entries };
+    let choice = ChoiceContext {
+        speed_factors: &speed_factors,
+        prefill_speed: &reading,
+        prompt: 3_200,
+        zone: "z0",
+        gateways: entries,
+    };
     let mut drawn = 0;
     let draw = || {
         drawn += 1;
--- a/crates/router/tests/quota.rs
+++ b/crates/router/tests/quota.rs
@@ -25,7 +25,7 @@
 fn ask(need: u64, more: u64) -> LeaseRequest {
     static NUMBER: AtomicU64 = AtomicU64::new(1);
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-    LeaseRequest { number, key: LimitKey::account("one"), need, more, limit: None }
+    LeaseRequest { number, key: LimitKey::account("one"), need, prefetch: more, limit: None }
 }
 
 fn granted(reply: LeaseDecision) -> u64 {
@@ -52,7 +52,7 @@
 struct Reports(BTreeMap<String, UnreachableGateways>);
 
 impl ReachabilityReports for Reports {
-    fn missing(&self, name: &str) -> Option<&UnreachableGateways> {
+    fn unreachable(&self, name: &str) -> Option<&UnreachableGateways> {
         self.0.get(name)
     }
 }
@@ -185,11 +185,11 @@
     list.get_mut("front-0").expect("front-0 is in the list").power = 700;
     let mut fleet = Fleet::default();
     fleet.replace(at(0), list, 1);
-    let mut homes = Owners::default();
-    let ranked = |n: usize, homes: &mut Owners| {
-        homes.ranked(&fleet, &LimitKey::account(&format!("account-{n}")))[0].clone()
+    let mut owners = Owners::default();
+    let ranked = |n: usize, owners: &mut Owners| {
+        owners.ranked(&fleet, &LimitKey::account(&format!("account-{n}")))[0].clone()
     };
-    let strong = (0..2_000).filter(|n| ranked(*n, &mut homes) == "front-0").count();
+    let strong = (0..2_000).filter(|n| ranked(*n, &mut owners) == "front-0").count();
     assert!((850..1_150).contains(&strong), "{strong}");
 }
 
@@ -270,7 +270,7 @@
 
 #[test]
 fn an_owner_and_its_standby_stay_within_the_tolerated_excess() {
-    let excess = Excess { part: 0.1, fixed: 190_000.0, window: Duration::from_secs(8) };
+    let excess = Excess { fraction: 0.1, fixed: 190_000.0, window: Duration::from_secs(8) };
     for rate in [500.0, 47_000.0, 190_000.0, 2e6] {
         let bound = Rate { rate, burst: rate };
         let allowed = rate * 8.0 + rate;
