--- a/crates/daemon/src/gateway/pool.rs
+++ b/crates/daemon/src/gateway/pool.rs
@@ -28,8 +28,8 @@
 /// Longest idle time of a pooled connection: the other ends close idle connections after whole
 /// seconds, one at the least.
 pub const IDLE_MAX: Duration = Duration::from_millis(900);
-/// Longest idle time of a connection for a request that may run only once; no server closes a
-/// connection earlier than this.
+/// Longest idle time of a connection for a request that may run only once; no server is known
+/// to close a connection earlier than this.
 pub const IDLE_MAX_ONCE: Duration = Duration::from_millis(500);
 /// Time limit for a whole body, however steadily it arrives: a megabyte takes two seconds over the
 /// slowest link with its other traffic.
--- a/crates/router/src/prefill_speed.rs
+++ b/crates/router/src/prefill_speed.rs
@@ -19,7 +19,8 @@
 /// Samples kept: some thirty seconds of one gateway, so that a change shows within fifteen.
 const SAMPLES_MAX: usize = 32;
 /// Prompt lengths at which the initial guess counts as a sample, so that the first samples don't
-/// fit noise: a far too high rate makes every engine look idle, and no sample corrects it.
+/// fit noise. A far too high rate (134,000 tokens a second) keeps all engines busy, and only prompts
+/// sent to idle engines count, so it is never corrected.
 const GUESS_LENGTHS: [f64; 6] = [1_000.0, 1_800.0, 2_600.0, 3_800.0, 5_400.0, 8_000.0];
 /// Real samples that replace one of these: after 24, some twelve seconds, none is left.
 const SAMPLES_PER_GUESS: usize = 4;
