--- a/crates/daemon/src/gateway/quota.rs
+++ b/crates/daemon/src/gateway/quota.rs
@@ -5,6 +5,7 @@
 //! gateways and owners. Client accounts' quotas are charged here too; backend servers' limits are
 //! in `limits`.
 
+use std::fmt;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -76,7 +77,7 @@
 }
 
 /// Why no tokens were acquired.
-#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+#[derive(Clone, Copy, Eq, PartialEq)]
 pub enum Shortage {
     /// The quota or limit is used up until this time.
     Over(Timestamp),
@@ -84,6 +85,16 @@
     Unknown,
 }
 
+// The value is written to logs under these names, which stay.
+impl fmt::Debug for Shortage {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Shortage::Over(Timestamp(us)) => write!(f, "Over(Moment({us}))"),
+            Shortage::Unknown => f.write_str("Unknown"),
+        }
+    }
+}
+
 /// Charges a request's cost to its account's quota, from tokens held here or from the owner.
 pub async fn charge(shared: &Shared, intake: &Intake) -> Result<Option<Charge>, Refused> {
     let (Some(account), tokens @ 1..) = (intake.account.clone(), intake.cost) else {
